--- a/benchmarks/poison_benchmark.cpp
+++ b/benchmarks/poison_benchmark.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// What the watch for requests that end servers adds to a request.
+/// Cost per request of the detection of poison requests.
 #include <benchmark/benchmark.h>
-#include <poison/poison_watch.hpp>
+#include <poison/poison_detector.hpp>
 
 namespace
 {
@@ -27,49 +27,50 @@
     return targets;
 }
 
-// Nothing ends: the shape of each request, and a note of its answer.
+// Without crashes: computes each request's shape and records its response.
 void calm_request(benchmark::State& state)
 {
     const auto targets = make_targets();
-    poison_watch watch{poison_options()};
-    const whole_answer given{{upstream_id("server"), {}}, host_id("host")};
+    poison_detector detector{poison_options()};
+    const completed_response response{{upstream_id("server"), {}},
+                                      host_id("host")};
     std::size_t number = 0;
     for (auto _ : state)
     {
         const auto shape = shape_of(content_of(targets[number]));
-        watch.note_answered(shape, given, absl::UnixEpoch());
+        detector.record_shape_response(shape, response, absl::UnixEpoch());
         number = (number + 1) % targets.size();
     }
 }
 
-// Many are suspected: each request's shape is looked up besides.
+// With 200 suspects: looks up each request's shape as well.
 void request_beside_suspects(benchmark::State& state)
 {
     const auto targets = make_targets();
-    poison_watch watch{poison_options()};
+    poison_detector detector{poison_options()};
     for (std::size_t number = 0; number < 200; ++number)
     {
         const auto content = content_of(targets[number]);
-        watch.note_end({print_of(content), shape_of(content), {}},
-                       {upstream_id(std::to_string(number)), {}},
-                       absl::Seconds(1), absl::UnixEpoch());
+        detector.record_crash({fingerprint_of(content), shape_of(content), {}},
+                              {upstream_id(std::to_string(number)), {}},
+                              absl::Seconds(1), absl::UnixEpoch());
     }
     std::size_t number = 200;
     for (auto _ : state)
     {
         const auto shape = shape_of(content_of(targets[number]));
-        benchmark::DoNotOptimize(watch.may_know(shape));
+        benchmark::DoNotOptimize(detector.has_shape(shape));
         number = number + 1 < targets.size() ? number + 1 : 200;
     }
 }
 
-// A request that has the shape of a known one.
+// A request with the shape of a suspect: computes its fingerprint.
 void print_of_30_kb(benchmark::State& state)
 {
     const std::string target = "/reviews/1";
     for (auto _ : state)
     {
-        benchmark::DoNotOptimize(print_of(content_of(target)));
+        benchmark::DoNotOptimize(fingerprint_of(content_of(target)));
     }
 }
 
--- a/benchmarks/poison_plays.cpp
+++ b/benchmarks/poison_plays.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Plays the fleet model of deadly requests with many seeds and prints what
-/// callers lose: servers that end beyond the bound, innocent requests refused.
+/// Simulates fleets with deadly requests for many seeds and prints the losses:
+/// attempts beyond the bound on crashes, and innocent requests rejected.
 #include <boost/program_options.hpp>
 
 #include <atomic>
@@ -15,25 +15,25 @@
 using namespace daleshelf;
 namespace options = boost::program_options;
 
-// Above this part of its requests a play refused too many.
-constexpr double most_refused = 0.001;
+// Largest share of innocent requests that a simulation may reject.
+constexpr double rejection_limit = 0.001;
 
-struct play_range
+struct simulation_options
 {
-    int deadly = 0; ///< 0: fleets of any size, drawn from the seed
+    int deadly = 0; ///< 0: fleets drawn from the seed
     std::uint32_t first_seed = 1;
-    std::uint32_t plays = 100;
+    std::uint32_t simulations = 100;
     unsigned jobs = 1;
     waiting_policy waiting = waiting_policy::hold;
 };
 
-struct play_totals
+struct simulation_totals
 {
-    int late_plays = 0;
-    int late_tries = 0;
+    int late_simulations = 0;
+    int late_attempts = 0;
     long innocent = 0;
-    long refused = 0;
-    int refusing_plays = 0;
+    long rejected = 0;
+    int rejecting_simulations = 0;
 };
 
 fleet_plan plan_of(int deadly, std::uint32_t seed)
@@ -50,30 +50,30 @@
     return plan;
 }
 
-void add(play_totals& totals, const fleet_result& result)
+void add(simulation_totals& totals, const fleet_result& result)
 {
-    totals.late_plays += result.late_tries > 0 ? 1 : 0;
-    totals.late_tries += result.late_tries;
+    totals.late_simulations += result.late_attempts > 0 ? 1 : 0;
+    totals.late_attempts += result.late_attempts;
     totals.innocent += result.innocent;
-    totals.refused += result.refused_innocent;
-    const bool is_refusing =
-        result.refused_innocent > most_refused * result.innocent;
-    totals.refusing_plays += is_refusing ? 1 : 0;
+    totals.rejected += result.rejected_innocent;
+    const bool exceeds_limit =
+        result.rejected_innocent > rejection_limit * result.innocent;
+    totals.rejecting_simulations += exceeds_limit ? 1 : 0;
 }
 
-play_totals play_all(const play_range& range)
+simulation_totals simulate_all(const simulation_options& range)
 {
-    play_totals totals;
+    simulation_totals totals;
     std::mutex mutex;
     std::atomic<std::uint32_t> next = 0;
     const auto work = [&]
     {
-        for (auto index = next++; index < range.plays; index = next++)
+        for (auto index = next++; index < range.simulations; index = next++)
         {
             const auto seed = range.first_seed + index;
             auto plan = plan_of(range.deadly, seed);
             plan.waiting = range.waiting;
-            const auto result = fleet(plan, seed).play();
+            const auto result = fleet(plan, seed).simulate();
             const std::lock_guard lock(mutex);
             add(totals, result);
         }
@@ -91,15 +91,15 @@
 
 int main(int argc, char** argv)
 {
-    play_range range;
+    simulation_options range;
     options::options_description known("poison_plays");
-    known.add_options()("help", "print this")(
+    known.add_options()("help", "print this help")(
         "deadly", options::value(&range.deadly),
-        "deadly requests among 8 hosts; 0: drawn fleets")(
-        "first-seed", options::value(&range.first_seed),
-        "first seed")("plays", options::value(&range.plays), "number of seeds")(
-        "jobs", options::value(&range.jobs), "plays at a time")(
-        "reject", "reject what has to wait, instead of holding it");
+        "deadly requests at 8 hosts; 0: fleets drawn from the seed")(
+        "first-seed", options::value(&range.first_seed), "first seed")(
+        "plays", options::value(&range.simulations), "number of seeds")(
+        "jobs", options::value(&range.jobs), "simulations at a time")(
+        "reject", "reject requests that have to wait instead of holding them");
     try
     {
         options::variables_map given;
@@ -118,12 +118,12 @@
         std::cerr << error.what() << '\n';
         return 2;
     }
-    const auto totals = play_all(range);
-    std::cout << "| deadly | plays | with a late try | late tries | innocent "
-                 "| refused | plays that refuse over 1 in 1,000 |\n"
-              << "| " << range.deadly << " | " << range.plays << " | "
-              << totals.late_plays << " | " << totals.late_tries << " | "
-              << totals.innocent << " | " << totals.refused << " | "
-              << totals.refusing_plays << " |\n";
+    const auto totals = simulate_all(range);
+    std::cout << "| deadly | simulations | with a late attempt | late attempts "
+                 "| innocent | rejected | rejecting over 1 in 1,000 |\n"
+              << "| " << range.deadly << " | " << range.simulations << " | "
+              << totals.late_simulations << " | " << totals.late_attempts
+              << " | " << totals.innocent << " | " << totals.rejected << " | "
+              << totals.rejecting_simulations << " |\n";
     return 0;
 }
--- a/libraries/poison/answered_shapes.hpp
+++ b/libraries/poison/answered_shapes.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which shapes of requests were answered lately.
+/// Request shapes with recent responses.
 #pragma once
 
 #include "poison_record.hpp"
@@ -12,30 +12,31 @@
 namespace daleshelf
 {
 
-/// Remembers, for a while, which life of a server last answered requests of a
-/// shape: what is answered all the time was beside an end by chance.
+/// Keeps the last response to requests of each shape: a request that upstreams
+/// answer all the time is a bystander at a crash.
 class answered_shapes
 {
 public:
-    /// @param most shapes that are kept, the newest ones
-    explicit answered_shapes(std::size_t most) : m_most(most) {}
+    /// @param limit number of shapes to keep; the oldest are evicted
+    explicit answered_shapes(std::size_t limit) : m_limit(limit) {}
 
-    void note(request_shape shape, const whole_answer& given, absl::Time now);
+    void add(request_shape shape, const completed_response& response,
+             absl::Time now);
 
-    /// @return the life that answered it last, if that was after a time
-    [[nodiscard]] std::optional<whole_answer> find(request_shape shape,
-                                                   absl::Time after) const;
+    /// @return the last response to the shape, if it came after a time
+    [[nodiscard]] std::optional<completed_response>
+    find(request_shape shape, absl::Time after) const;
 
 private:
-    struct answer
+    struct entry
     {
-        whole_answer given;
+        completed_response response;
         absl::Time at;
     };
 
-    std::size_t m_most;
-    absl::flat_hash_map<request_shape, answer> m_answers;
-    std::deque<request_shape> m_order; ///< first noted first
+    std::size_t m_limit;
+    absl::flat_hash_map<request_shape, entry> m_responses;
+    std::deque<request_shape> m_order; ///< the oldest first
 };
 
 } // namespace daleshelf
--- a/libraries/poison/crash_cover.cpp
+++ b/libraries/poison/crash_cover.cpp
@@ -14,7 +14,8 @@
     for (const auto& record : confirmed)
     {
         m_culprits.push_back(make_culprit(record));
-        weakest_first.emplace_back(m_culprits.back().crashes.size(), &record);
+        weakest_first.emplace_back(m_culprits.back().caused_crashes.size(),
+                                   &record);
     }
     std::stable_sort(weakest_first.begin(), weakest_first.end(),
                      [](const auto& left, const auto& right)
@@ -27,7 +28,7 @@
             continue;
         }
         std::erase_if(m_culprits, [&](const auto& culprit)
-                      { return culprit.print == record.print; });
+                      { return culprit.fingerprint == record.fingerprint; });
     }
 }
 
@@ -35,23 +36,25 @@
 // explanation than the request itself.
 bool crash_cover::explains(const poison_record& record) const
 {
-    std::set<server_life> explained;
+    std::set<server_incarnation> explained;
     for (const auto& culprit : m_culprits)
     {
         const bool has_own_crash = std::any_of(
-            culprit.crashes.begin(), culprit.crashes.end(),
-            [&](const auto& life) { return !record.ends.contains(life); });
-        if (culprit.print == record.print || !has_own_crash ||
-            culprit.responses > record.whole.size())
+            culprit.caused_crashes.begin(), culprit.caused_crashes.end(),
+            [&](const auto& incarnation)
+            { return !record.crashes.contains(incarnation); });
+        if (culprit.fingerprint == record.fingerprint || !has_own_crash ||
+            culprit.response_count > record.responses.size())
         {
             continue;
         }
-        explained.insert(culprit.crashes.begin(), culprit.crashes.end());
+        explained.insert(culprit.caused_crashes.begin(),
+                         culprit.caused_crashes.end());
     }
-    return !record.ends.empty() &&
-           std::all_of(record.ends.begin(), record.ends.end(),
-                       [&](const auto& end)
-                       { return explained.contains(end.first); });
+    return !record.crashes.empty() &&
+           std::all_of(record.crashes.begin(), record.crashes.end(),
+                       [&](const auto& crash)
+                       { return explained.contains(crash.first); });
 }
 
 // A request that ran much shorter at one crash than at another was a bystander
@@ -60,16 +63,16 @@
 crash_cover::make_culprit(const poison_record& record) const
 {
     auto longest = absl::ZeroDuration();
-    for (const auto& [life, end] : record.ends)
+    for (const auto& [incarnation, crash] : record.crashes)
     {
-        longest = std::max(longest, end.ran);
+        longest = std::max(longest, crash.request_age);
     }
-    culprit made{record.print, record.whole.size(), {}};
-    for (const auto& [life, end] : record.ends)
+    culprit made{record.fingerprint, record.responses.size(), {}};
+    for (const auto& [incarnation, crash] : record.crashes)
     {
-        if (end.ran * m_age_spread >= longest)
+        if (crash.request_age * m_age_spread >= longest)
         {
-            made.crashes.insert(life);
+            made.caused_crashes.insert(incarnation);
         }
     }
     return made;
--- a/libraries/poison/crash_cover.hpp
+++ b/libraries/poison/crash_cover.hpp
@@ -33,9 +33,9 @@
     /// A confirmed request and the crashes that it can have caused.
     struct culprit
     {
-        request_print print;
-        std::size_t responses = 0;
-        std::set<server_life> crashes;
+        request_fingerprint fingerprint;
+        std::size_t response_count = 0;
+        std::set<server_incarnation> caused_crashes;
     };
 
     [[nodiscard]] culprit make_culprit(const poison_record& record) const;
--- a/libraries/poison/forward.hpp
+++ b/libraries/poison/forward.hpp
@@ -7,13 +7,13 @@
 
 class answered_shapes;
 class crash_cover;
-class poison_probation;
-class poison_watch;
+class probe_schedule;
+class poison_detector;
 class suspects_in_flight;
 struct poison_options;
 struct poison_record;
 struct request_content;
-struct server_end;
+struct server_crash;
 struct suspect_request;
 
 } // namespace daleshelf
--- a/libraries/poison/poison_evidence.cpp
+++ b/libraries/poison/poison_evidence.cpp
@@ -9,129 +9,143 @@
 namespace
 {
 
-// Lower bound of the probability that a server crashed for an unrelated reason.
-constexpr double least_chance = 1e-4;
-// A connection and a wake-up lie between a request's end and its note.
-constexpr absl::Duration note_time = absl::Milliseconds(100);
+// Lower bound of the probability that an upstream crashed for another reason.
+constexpr double probability_floor = 1e-4;
+// A crash is detected after a connection attempt and a wake-up.
+constexpr absl::Duration detection_delay = absl::Milliseconds(100);
 
 } // namespace
 
-void poison_evidence::note(const server_life& life, absl::Time at)
+void poison_evidence::add_crash(const server_incarnation& incarnation,
+                                absl::Time at)
 {
-    const auto [place, is_new] = m_ends.try_emplace(life, at);
+    const auto [place, is_new] = m_crashes.try_emplace(incarnation, at);
     place->second = std::min(place->second, at);
 }
 
-void poison_evidence::forget_before(absl::Time oldest)
+void poison_evidence::expire_before(absl::Time oldest)
 {
-    std::erase_if(m_ends, [&](const auto& end) { return end.second < oldest; });
+    std::erase_if(m_crashes,
+                  [&](const auto& crash) { return crash.second < oldest; });
 }
 
-// Caches the ends that confirmed requests explain: weighing looks them up for
-// every end.
-void poison_evidence::set_proved(std::vector<poison_record> proved)
+// Caches the crashes that confirmed requests explain: weighing looks them up
+// for every crash.
+void poison_evidence::set_confirmed_records(
+    std::vector<poison_record> confirmed)
 {
-    m_proved = std::move(proved);
+    m_confirmed = std::move(confirmed);
     m_explained.clear();
-    for (const auto& record : m_proved)
+    for (const auto& record : m_confirmed)
     {
-        for (const auto& [life, end] : record.ends)
+        for (const auto& [incarnation, crash] : record.crashes)
         {
-            m_explained.insert(life);
+            m_explained.insert(incarnation);
         }
     }
-    m_cover.set_confirmed(m_proved);
+    m_cover.set_confirmed(m_confirmed);
 }
 
-blame poison_evidence::weigh(const poison_record& record,
-                             std::size_t servers) const
+crash_attribution poison_evidence::weigh(const poison_record& record,
+                                         std::size_t servers) const
 {
-    blame found;
-    found.strength = strength_of(record, servers);
-    for (const auto& [life, end] : record.ends)
+    crash_attribution attribution;
+    attribution.crash_weight = crash_weight_of(record, servers);
+    for (const auto& [incarnation, crash] : record.crashes)
     {
-        if (is_explained_better(life, record, found.strength, servers))
+        if (is_explained_better(incarnation, record, attribution.crash_weight,
+                                servers))
         {
             continue;
         }
-        ++found.ends;
-        found.weight -= std::log(chance_of(record, end, servers));
+        ++attribution.unexplained_crashes;
+        attribution.weight -=
+            std::log(coincidence_probability_of(record, crash, servers));
     }
-    found.weight -=
-        static_cast<double>(record.whole.size()) * m_options.answered_odds;
-    return found;
+    attribution.weight -= static_cast<double>(record.responses.size()) *
+                          m_options.response_weight;
+    return attribution;
 }
 
-bool poison_evidence::are_all_ends(const poison_record& record) const
+bool poison_evidence::covers_all_crashes(const poison_record& record) const
 {
-    const auto last = record.last_end() + m_options.storm;
-    return std::all_of(m_ends.begin(), m_ends.end(),
-                       [&](const auto& end)
+    const auto last = record.last_crash() + m_options.correlation_window;
+    return std::all_of(m_crashes.begin(), m_crashes.end(),
+                       [&](const auto& crash)
                        {
-                           return end.second > last ||
-                                  record.ends.contains(end.first) ||
-                                  is_explained(end.first);
+                           return crash.second > last ||
+                                  record.crashes.contains(crash.first) ||
+                                  is_explained(crash.first);
                        });
 }
 
-bool poison_evidence::is_explained(const server_life& life) const
+bool poison_evidence::is_explained(const server_incarnation& incarnation) const
 {
-    return m_explained.contains(life);
+    return m_explained.contains(incarnation);
 }
 
-// Two that end servers at the same time are at ends of one another: the first
-// to be proved must not clear the other.
-bool poison_evidence::is_explained_better(const server_life& life,
+// Two poison requests in flight at the same time share crashes: the first to be
+// confirmed must not clear the other.
+bool poison_evidence::is_explained_better(const server_incarnation& incarnation,
                                           const poison_record& record,
-                                          double strength,
+                                          double crash_weight,
                                           std::size_t servers) const
 {
-    return !record.is_proved &&
-           std::any_of(m_proved.begin(), m_proved.end(),
-                       [&](const auto& other)
-                       {
-                           return other.ends.contains(life) &&
-                                  (other.whole.size() < record.whole.size() ||
-                                   strength_of(other, servers) >=
-                                       strength + m_options.stronger_by);
-                       });
+    return !record.is_confirmed &&
+           std::any_of(
+               m_confirmed.begin(), m_confirmed.end(),
+               [&](const auto& other)
+               {
+                   return other.crashes.contains(incarnation) &&
+                          (other.responses.size() < record.responses.size() ||
+                           crash_weight_of(other, servers) >=
+                               crash_weight + m_options.explanation_margin);
+               });
 }
 
-// The log-likelihood ratio over all ends, explained or not.
-double poison_evidence::strength_of(const poison_record& record,
-                                    std::size_t servers) const
+// The log-likelihood ratio over all crashes, explained or not.
+double poison_evidence::crash_weight_of(const poison_record& record,
+                                        std::size_t servers) const
 {
-    double strength = 0;
-    for (const auto& [life, end] : record.ends)
+    double crash_weight = 0;
+    for (const auto& [incarnation, crash] : record.crashes)
     {
-        strength -= std::log(chance_of(record, end, servers));
+        crash_weight -=
+            std::log(coincidence_probability_of(record, crash, servers));
     }
-    return strength;
+    return crash_weight;
 }
 
-// How likely it is that the server ended while the request was there, if that
-// has nothing to do with it.
-double poison_evidence::chance_of(const poison_record& record,
-                                  const server_end& end,
-                                  std::size_t servers) const
+// The probability that the upstream crashed while it ran the request, if the
+// request was not the cause.
+double poison_evidence::coincidence_probability_of(const poison_record& record,
+                                                   const server_crash& crash,
+                                                   std::size_t servers) const
 {
     const auto count = static_cast<double>(std::max<std::size_t>(servers, 1));
-    double at_once = 0;
-    double lately = 0;
-    for (const auto& [life, at] : m_ends)
+    double simultaneous = 0;
+    double recent = 0;
+    for (const auto& [incarnation, at] : m_crashes)
     {
-        if (record.ends.contains(life) || is_explained(life))
+        if (record.crashes.contains(incarnation) || is_explained(incarnation))
         {
             continue;
         }
-        at_once += absl::AbsDuration(at - end.at) <= m_options.storm ? 1 : 0;
-        lately += absl::AbsDuration(at - end.at) <= m_options.memory ? 1 : 0;
+        simultaneous +=
+            absl::AbsDuration(at - crash.at) <= m_options.correlation_window
+                ? 1
+                : 0;
+        recent +=
+            absl::AbsDuration(at - crash.at) <= m_options.retention ? 1 : 0;
     }
-    const auto memory_s = absl::ToDoubleSeconds(m_options.memory);
-    const auto rate = 1 / absl::ToDoubleSeconds(m_options.usual_life) +
-                      lately / (memory_s * count);
-    const auto by_rate = rate * absl::ToDoubleSeconds(end.ran + note_time);
-    return std::clamp(std::max(by_rate, at_once / count), least_chance, 1.0);
+    const auto retention_s = absl::ToDoubleSeconds(m_options.retention);
+    const auto rate =
+        1 / absl::ToDoubleSeconds(m_options.mean_time_to_failure) +
+        recent / (retention_s * count);
+    const auto by_rate =
+        rate * absl::ToDoubleSeconds(crash.request_age + detection_delay);
+    return std::clamp(std::max(by_rate, simultaneous / count),
+                      probability_floor, 1.0);
 }
 
 } // namespace daleshelf
--- a/libraries/poison/poison_evidence.hpp
+++ b/libraries/poison/poison_evidence.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the ends of servers say about one request.
+/// Weighs crashes of upstreams as evidence against a request.
 #pragma once
 
 #include "crash_cover.hpp"
@@ -13,16 +13,19 @@
 namespace daleshelf
 {
 
-/// How strongly a request is blamed.
-struct blame
+/// How strongly crashes are attributed to a request.
+struct crash_attribution
 {
-    std::size_t ends = 0; ///< that nothing proved explains better
-    double weight = 0;    ///< logarithm of the odds, by these ends and answers
-    double strength = 0;  ///< logarithm of the odds, by all ends alone
+    /// Crashes that no confirmed request explains better.
+    std::size_t unexplained_crashes = 0;
+    /// Logarithm of the odds, by these crashes and the responses.
+    double weight = 0;
+    /// Logarithm of the odds, by all crashes alone.
+    double crash_weight = 0;
 };
 
-/// Weighs ends: a request is blamed for one by how unlikely it is that the
-/// server ended just then for another reason. See docs/design/poison.md.
+/// Weighs crashes: each counts against a request by how unlikely it is that the
+/// upstream crashed then for another reason. See docs/design/poison.md.
 class poison_evidence
 {
 public:
@@ -31,23 +34,25 @@
     {
     }
 
-    /// Records a server crash of any cause; keeps the earliest reported time.
-    void note(const server_life& life, absl::Time at);
+    /// Records an upstream's crash of any cause; keeps the earliest reported
+    /// time.
+    void add_crash(const server_incarnation& incarnation, absl::Time at);
 
-    /// Forgets what ended before a time.
-    void forget_before(absl::Time oldest);
+    /// Removes crashes from before a time.
+    void expire_before(absl::Time oldest);
 
-    /// Sets which requests are proved: ends at which they were say little about
-    /// others.
-    void set_proved(std::vector<poison_record> proved);
+    /// Sets the confirmed requests; a crash under one of them is weak evidence
+    /// against others.
+    void set_confirmed_records(std::vector<poison_record> confirmed);
 
-    /// @param servers of the request's service, there now
-    [[nodiscard]] blame weigh(const poison_record& record,
-                              std::size_t servers) const;
+    /// @param servers number of usable upstreams of the request's service
+    /// @return the evidence against the request
+    [[nodiscard]] crash_attribution weigh(const poison_record& record,
+                                          std::size_t servers) const;
 
     /// @return whether every recent crash was under this request or is
     /// explained by a confirmed one
-    [[nodiscard]] bool are_all_ends(const poison_record& record) const;
+    [[nodiscard]] bool covers_all_crashes(const poison_record& record) const;
 
     /// @return whether confirmed requests explain each crash under this one,
     /// confirmed itself or not
@@ -57,22 +62,23 @@
     }
 
 private:
-    [[nodiscard]] bool is_explained(const server_life& life) const;
-    [[nodiscard]] bool is_explained_better(const server_life& life,
-                                           const poison_record& record,
-                                           double strength,
-                                           std::size_t servers) const;
-    [[nodiscard]] double strength_of(const poison_record& record,
-                                     std::size_t servers) const;
-    [[nodiscard]] double chance_of(const poison_record& record,
-                                   const server_end& end,
-                                   std::size_t servers) const;
+    [[nodiscard]] bool
+    is_explained(const server_incarnation& incarnation) const;
+    [[nodiscard]] bool
+    is_explained_better(const server_incarnation& incarnation,
+                        const poison_record& record, double crash_weight,
+                        std::size_t servers) const;
+    [[nodiscard]] double crash_weight_of(const poison_record& record,
+                                         std::size_t servers) const;
+    [[nodiscard]] double coincidence_probability_of(const poison_record& record,
+                                                    const server_crash& crash,
+                                                    std::size_t servers) const;
 
     poison_options m_options;
-    std::map<server_life, absl::Time> m_ends; ///< of any cause
-    std::vector<poison_record> m_proved;
+    std::map<server_incarnation, absl::Time> m_crashes; ///< of any cause
+    std::vector<poison_record> m_confirmed;
     crash_cover m_cover;
-    std::set<server_life> m_explained; ///< ends at which one of them was
+    std::set<server_incarnation> m_explained; ///< under a confirmed one
 };
 
 } // namespace daleshelf
--- a/libraries/poison/poison_message.cpp
+++ b/libraries/poison/poison_message.cpp
@@ -10,83 +10,83 @@
 namespace
 {
 
-// Formats 1 to 6 are other words of hosts: see peers/datagram_format.hpp.
+// Formats 1 to 6 are other datagrams of hosts: see peers/datagram_format.hpp.
 constexpr std::uint32_t poison_format = 7;
-// A host tells of no more; what comes beside is no word of one.
-constexpr int most_told = 64;
-// A day: an age that is wrong by far must not overflow.
-constexpr std::int64_t longest_age_ms = 86400000;
+// Hosts send no more records in a datagram: a longer one is rejected.
+constexpr int record_limit = 64;
+// One day: keeps an invalid age from overflowing a time.
+constexpr std::int64_t age_limit_ms = 86400000;
 
 std::int64_t age_of(absl::Time at, absl::Time now)
 {
     return absl::ToInt64Milliseconds(
-        std::min(now - at, absl::Milliseconds(longest_age_ms)));
+        std::min(now - at, absl::Milliseconds(age_limit_ms)));
 }
 
 absl::Time time_of(std::int64_t age_ms, absl::Time now)
 {
     return now - absl::Milliseconds(
-                     std::clamp<std::int64_t>(age_ms, 0, longest_age_ms));
+                     std::clamp<std::int64_t>(age_ms, 0, age_limit_ms));
 }
 
 void write(wire::PoisonRecord& item, const poison_record& record,
            absl::Time now)
 {
-    item.set_print(record.print.value());
+    item.set_print(record.fingerprint.value());
     item.set_shape(record.shape);
     item.set_service(record.service.value());
     item.set_epoch(record.epoch);
-    item.set_is_proved(record.is_proved);
-    for (const auto& [life, end] : record.ends)
+    item.set_is_proved(record.is_confirmed);
+    for (const auto& [incarnation, crash] : record.crashes)
     {
-        auto& told = *item.add_ends();
-        told.set_server(life.server.value());
-        told.set_born(life.born.value());
-        told.set_age_ms(age_of(end.at, now));
-        told.set_ran_ms(absl::ToInt64Milliseconds(end.ran));
+        auto& entry = *item.add_ends();
+        entry.set_server(incarnation.server.value());
+        entry.set_born(incarnation.started_ms.value());
+        entry.set_age_ms(age_of(crash.at, now));
+        entry.set_ran_ms(absl::ToInt64Milliseconds(crash.request_age));
     }
-    for (const auto& given : record.whole)
+    for (const auto& response : record.responses)
     {
-        auto& told = *item.add_whole();
-        told.set_server(given.life.server.value());
-        told.set_born(given.life.born.value());
-        told.set_host(given.to.value());
+        auto& entry = *item.add_whole();
+        entry.set_server(response.incarnation.server.value());
+        entry.set_born(response.incarnation.started_ms.value());
+        entry.set_host(response.recipient.value());
     }
-    if (record.trial.number > 0)
+    if (record.probe.number > 0)
     {
-        auto& trial = *item.mutable_trial();
-        trial.set_number(record.trial.number);
-        trial.set_host(record.trial.host.value());
-        trial.set_age_ms(age_of(record.trial.claimed_at, now));
+        auto& probe = *item.mutable_trial();
+        probe.set_number(record.probe.number);
+        probe.set_host(record.probe.host.value());
+        probe.set_age_ms(age_of(record.probe.claimed_at, now));
     }
 }
 
 poison_record read(const wire::PoisonRecord& item, absl::Time now)
 {
     poison_record record;
-    record.print = request_print(item.print());
+    record.fingerprint = request_fingerprint(item.print());
     record.shape = item.shape();
     record.service = service_name(item.service());
     record.epoch = item.epoch();
-    record.is_proved = item.is_proved();
-    for (const auto& told : item.ends())
+    record.is_confirmed = item.is_proved();
+    for (const auto& entry : item.ends())
     {
-        const server_life life{upstream_id(told.server()),
-                               upstream_birth(told.born())};
-        const auto ran =
-            std::clamp<std::int64_t>(told.ran_ms(), 0, longest_age_ms);
-        record.ends[life] = {time_of(told.age_ms(), now),
-                             absl::Milliseconds(ran)};
+        const server_incarnation incarnation{upstream_id(entry.server()),
+                                             upstream_birth(entry.born())};
+        const auto request_age_ms =
+            std::clamp<std::int64_t>(entry.ran_ms(), 0, age_limit_ms);
+        record.crashes[incarnation] = {time_of(entry.age_ms(), now),
+                                       absl::Milliseconds(request_age_ms)};
     }
-    for (const auto& told : item.whole())
+    for (const auto& entry : item.whole())
     {
-        record.whole.insert(
-            {{upstream_id(told.server()), upstream_birth(told.born())},
-             host_id(told.host())});
+        record.responses.insert(
+            {{upstream_id(entry.server()), upstream_birth(entry.born())},
+             host_id(entry.host())});
     }
     if (item.has_trial())
     {
-        record.trial = {item.trial().number(), host_id(item.trial().host()),
+        record.probe = {item.trial().number(), host_id(item.trial().host()),
                         time_of(item.trial().age_ms(), now)};
     }
     return record;
@@ -113,7 +113,7 @@
     const bool is_message =
         message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) &&
         message.format() == poison_format &&
-        message.records_size() <= most_told;
+        message.records_size() <= record_limit;
     if (!is_message)
     {
         return std::nullopt;
--- a/libraries/poison/poison_message.hpp
+++ b/libraries/poison/poison_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What hosts tell each other of requests that may end servers.
+/// Gossip of poison records between hosts.
 #pragma once
 
 #include "poison_record.hpp"
@@ -12,11 +12,15 @@
 namespace daleshelf
 {
 
-/// @param now times go as ages: clocks of hosts differ
+/// Encodes records; times become ages, as the clocks of hosts differ.
+/// @param now the present time by this host's clock
+/// @return the serialized message
 [[nodiscard]] std::string
 encode_poison(const std::vector<poison_record>& records, absl::Time now);
 
-/// @return the records, or nothing if the bytes are none
+/// Decodes records; their ages become times of this host's clock.
+/// @param now the present time by this host's clock
+/// @return the records, or nothing if the bytes are no valid message
 [[nodiscard]] std::optional<std::vector<poison_record>>
 decode_poison(std::string_view bytes, absl::Time now);
 
--- a/libraries/poison/poison_record.hpp
+++ b/libraries/poison/poison_record.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// What is known of one request that may end servers.
+/// Evidence on one request that may crash upstreams.
 #pragma once
 
-#include "request_print.hpp"
+#include "request_fingerprint.hpp"
 
 #include <absl/time/time.h>
 
@@ -13,65 +13,69 @@
 namespace daleshelf
 {
 
-/// One life of a server, in order.
-struct server_life
+/// One run of an upstream's process; ordered by upstream, then by start.
+struct server_incarnation
 {
     upstream_id server;
-    upstream_birth born;
+    upstream_birth started_ms;
 
-    friend auto operator<=>(const server_life&, const server_life&) = default;
+    friend auto operator<=>(const server_incarnation&,
+                            const server_incarnation&) = default;
 };
 
-/// One life of a server has answered the request whole. What is asked for often
-/// is answered to many hosts, though by few servers.
-struct whole_answer
+/// An incarnation of an upstream has completed the request for a host. Hosts
+/// count separately, as few upstreams answer a frequent request to many hosts.
+struct completed_response
 {
-    server_life life;
-    host_id to;
+    server_incarnation incarnation;
+    host_id recipient;
 
-    friend auto operator<=>(const whole_answer&, const whole_answer&) = default;
+    friend auto operator<=>(const completed_response&,
+                            const completed_response&) = default;
 };
 
-/// A server ended while the request was there.
-struct server_end
+/// A crash of an upstream that ran the request.
+struct server_crash
 {
     absl::Time at;
-    absl::Duration ran; ///< how long the request had been there
+    absl::Duration request_age; ///< time since it was sent there
 };
 
-/// The right of one host to try the request again.
-struct poison_trial
+/// One host's claim to send a confirmed request again, as a probe.
+struct probe_claim
 {
-    std::int64_t number = 0; ///< 0: none yet
+    std::int64_t number = 0; ///< 0: no claim yet
     host_id host;
     absl::Time claimed_at = absl::InfinitePast();
 };
 
-/// A request that may end servers, as one of its attempts shows it.
+/// A request that may crash upstreams, described from one of its attempts.
 struct suspect_request
 {
-    request_print print;
+    request_fingerprint fingerprint;
     request_shape shape = 0;
     service_name service;
 };
 
-/// The evidence, which hosts merge in any order. Once the request has been
-/// tried again and answered, what was known of it is void: a new epoch begins.
+/// The evidence on one request. Hosts merge their records in any order. When an
+/// attempt of a confirmed request completes, the evidence is void and a new
+/// epoch begins.
 struct poison_record
 {
-    request_print print;
+    request_fingerprint fingerprint;
     request_shape shape = 0;
     service_name service;
     std::int64_t epoch = 0;
-    std::map<server_life, server_end> ends;
-    std::set<whole_answer> whole;
-    bool is_proved = false;
-    poison_trial trial;
-    absl::Time changed_at = absl::InfinitePast(); ///< here; not told
-    absl::Time noted_at = absl::InfinitePast(); ///< last end that was seen here
+    std::map<server_incarnation, server_crash> crashes;
+    std::set<completed_response> responses;
+    bool is_confirmed = false;
+    probe_claim probe;
+    absl::Time changed_at = absl::InfinitePast(); ///< local, not sent
+    /// Time of the last crash that this host observed; not sent.
+    absl::Time observed_at = absl::InfinitePast();
 
-    /// @return when a server last ended under it
-    [[nodiscard]] absl::Time last_end() const;
+    /// @return time of the last crash, or the infinite past
+    [[nodiscard]] absl::Time last_crash() const;
 };
 
 } // namespace daleshelf
--- a/libraries/poison/request_print.cpp
+++ b/libraries/poison/request_fingerprint.cpp
@@ -1,4 +1,4 @@
-#include "request_print.hpp"
+#include "request_fingerprint.hpp"
 
 #include <base/digest.hpp>
 #include <base/text.hpp>
@@ -9,10 +9,10 @@
 namespace
 {
 
-// 128 bits: nobody finds two contents that share them.
-constexpr std::size_t print_digits = 32;
+// 128 bits: finding two contents that share them is infeasible.
+constexpr std::size_t fingerprint_digits = 32;
 
-// Each part goes with its length: no two contents are written alike.
+// Prefixes each part with its length, so that the encoding is unambiguous.
 std::string head_of(const request_content& content)
 {
     std::string head;
@@ -33,11 +33,11 @@
     return stable_hash(head_of(content));
 }
 
-request_print print_of(const request_content& content)
+request_fingerprint fingerprint_of(const request_content& content)
 {
     auto bytes = head_of(content);
     bytes += content.body;
-    return request_print(sha256_hex(bytes).substr(0, print_digits));
+    return request_fingerprint(sha256_hex(bytes).substr(0, fingerprint_digits));
 }
 
 } // namespace daleshelf
--- a/libraries/poison/suspects_in_flight.cpp
+++ b/libraries/poison/suspects_in_flight.cpp
@@ -18,17 +18,17 @@
 
 } // namespace
 
-void suspects_in_flight::begin(const request_print& print,
+void suspects_in_flight::begin(const request_fingerprint& fingerprint,
                                const upstream_id& server)
 {
-    ++m_prints[print];
+    ++m_fingerprints[fingerprint];
     ++m_servers[server];
 }
 
-void suspects_in_flight::end(const request_print& print,
+void suspects_in_flight::end(const request_fingerprint& fingerprint,
                              const upstream_id& server)
 {
-    take_one(m_prints, print);
+    take_one(m_fingerprints, fingerprint);
     take_one(m_servers, server);
 }
 
--- a/libraries/poison/suspects_in_flight.hpp
+++ b/libraries/poison/suspects_in_flight.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Where requests that may end servers run just now.
+/// Attempts in flight of suspected requests.
 #pragma once
 
-#include "request_print.hpp"
+#include "request_fingerprint.hpp"
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
@@ -10,23 +10,24 @@
 namespace daleshelf
 {
 
-/// Counts what this host has sent of them.
+/// Counts this host's attempts of suspected requests in flight.
 class suspects_in_flight
 {
 public:
-    void begin(const request_print& print, const upstream_id& server);
-    void end(const request_print& print, const upstream_id& server);
+    void begin(const request_fingerprint& fingerprint,
+               const upstream_id& server);
+    void end(const request_fingerprint& fingerprint, const upstream_id& server);
 
-    [[nodiscard]] bool has(const request_print& print) const
+    [[nodiscard]] bool has(const request_fingerprint& fingerprint) const
     {
-        return m_prints.contains(print);
+        return m_fingerprints.contains(fingerprint);
     }
 
-    /// @return the servers where some run
+    /// @return the upstreams that run some
     [[nodiscard]] absl::flat_hash_set<upstream_id> servers() const;
 
 private:
-    absl::flat_hash_map<request_print, int> m_prints;
+    absl::flat_hash_map<request_fingerprint, int> m_fingerprints;
     absl::flat_hash_map<upstream_id, int> m_servers;
 };
 
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -297,7 +297,7 @@
     meter.set("requests_suspected", "Requests that may end servers, known now.",
               static_cast<double>(m_state.poison.size()));
     meter.set("requests_proved", "Of these, proved ones, which are refused.",
-              static_cast<double>(m_state.poison.proved().size()));
+              static_cast<double>(m_state.poison.confirmed().size()));
     meter.set("upstreams_limited", "Upstreams that name a limit now.",
               static_cast<double>(m_state.quota.shared().limits().limited()));
     meter.set("machines_known", "Gateways known, with this one.",
--- a/services/gateway/gateway_state.cpp
+++ b/services/gateway/gateway_state.cpp
@@ -28,10 +28,10 @@
 poison_options bound_of_poison(const gateway_settings& settings)
 {
     poison_options options;
-    options.proof = settings.poison_proof;
-    options.most_ends = static_cast<std::size_t>(settings.poison_most_ends);
-    options.first_trial = absl::FromChrono(settings.poison_first_trial);
-    options.longest_trial = absl::FromChrono(settings.poison_longest_trial);
+    options.confirmation_odds = settings.poison_proof;
+    options.crash_limit = static_cast<std::size_t>(settings.poison_most_ends);
+    options.first_probe_delay = absl::FromChrono(settings.poison_first_trial);
+    options.probe_delay_limit = absl::FromChrono(settings.poison_longest_trial);
     return options;
 }
 
--- a/services/gateway/gateway_state.hpp
+++ b/services/gateway/gateway_state.hpp
@@ -22,7 +22,7 @@
 #include <ingress/server_directory.hpp>
 #include <memory>
 #include <peers/time_estimate.hpp>
-#include <poison/poison_watch.hpp>
+#include <poison/poison_detector.hpp>
 #include <poison/suspects_in_flight.hpp>
 #include <rollouts/rollout_watch.hpp>
 #include <scaling/prompt_samples.hpp>
@@ -94,7 +94,7 @@
     engine_table engines;
     std::map<service_name, service_load> loads; ///< of engines
     skipped_records skipped;
-    poison_watch poison;
+    poison_detector poison;
     suspects_in_flight suspects;
     async_event poison_news;   ///< there is something to tell of `poison`
     async_event limit_updates; ///< limits of upstreams have changed
--- a/services/gateway/poison_service.cpp
+++ b/services/gateway/poison_service.cpp
@@ -118,7 +118,7 @@
             m_state.poison_news.notify();
         }
         // Its server has ended under others of this host as well.
-        for (const auto& [life, end] : record.ends)
+        for (const auto& [life, end] : record.crashes)
         {
             m_state.ends.note_over(life, end_sign::told);
         }
@@ -130,18 +130,19 @@
 {
     const auto now = gateway_state::now();
     std::vector<poison_record> told;
-    for (const auto& record : m_state.poison.take_news(most_told))
+    for (const auto& record : m_state.poison.take_unsent(most_told))
     {
         const auto servers = m_state.servers.usable(record.service).size();
-        m_state.poison.judge(record.print, servers, now);
-        const auto* newest = m_state.poison.find(record.print);
+        m_state.poison.judge(record.fingerprint, servers, now);
+        const auto* newest = m_state.poison.find(record.fingerprint);
         if (newest == nullptr)
         {
             continue;
         }
         note_changes(*newest);
         const bool says_much =
-            newest->is_proved || newest->epoch > 0 || !newest->whole.empty() ||
+            newest->is_confirmed || newest->epoch > 0 ||
+            !newest->responses.empty() ||
             m_state.poison.weight(*newest, servers) >= least_told_weight;
         if (says_much)
         {
@@ -152,7 +153,7 @@
     {
         m_peers.tell_some(encode_poison(told, now));
     }
-    if (m_state.poison.has_news())
+    if (m_state.poison.has_unsent())
     {
         m_state.poison_news.notify();
     }
@@ -174,29 +175,29 @@
 // Logs what is proved or void now; whoever saw the last end writes it down.
 void poison_service::note_changes(const poison_record& record)
 {
-    const bool is_known = m_proved.contains(record.print);
-    if (record.is_proved == is_known)
+    const bool is_known = m_proved.contains(record.fingerprint);
+    if (record.is_confirmed == is_known)
     {
         return;
     }
-    const bool is_own = record.noted_at != absl::InfinitePast() &&
-                        record.noted_at >= record.last_end();
-    if (record.is_proved)
+    const bool is_own = record.observed_at != absl::InfinitePast() &&
+                        record.observed_at >= record.last_crash();
+    if (record.is_confirmed)
     {
-        m_proved.insert(record.print);
+        m_proved.insert(record.fingerprint);
         const auto servers = m_state.servers.usable(record.service).size();
         log(events::poison_proved,
-            {{"print", record.print.value()},
+            {{"print", record.fingerprint.value()},
              {"service", record.service.value()},
-             {"ends", std::to_string(record.ends.size())},
+             {"ends", std::to_string(record.crashes.size())},
              {"weight", std::to_string(m_state.poison.weight(record, servers))},
              {"servers", std::to_string(servers)},
              {"seen_here", is_own ? "true" : "false"}});
     }
     else
     {
-        m_proved.erase(record.print);
-        log(events::poison_cleared, {{"print", record.print.value()}});
+        m_proved.erase(record.fingerprint);
+        log(events::poison_cleared, {{"print", record.fingerprint.value()}});
     }
     if (is_own)
     {
@@ -209,7 +210,7 @@
 awaitable<void> poison_service::write(poison_record record)
 {
     std::string value;
-    if (record.is_proved)
+    if (record.is_confirmed)
     {
         value = concat(absl::ToUnixMillis(wall_time()), " ",
                        encode_poison({record}, gateway_state::now()));
@@ -217,13 +218,14 @@
     http_caller caller(m_state.context, m_state.settings.store_address);
     auto append = platform::append_call(
         platform::poison_topic,
-        {platform::encode_keyed(record.print.value(), value)}, std::nullopt);
+        {platform::encode_keyed(record.fingerprint.value(), value)},
+        std::nullopt);
     const auto answer = co_await caller.call(std::move(append), store_time);
     if (!answer || answer->status != http_status::ok)
     {
         log(events::log_unreachable,
             {{"topic", std::string(platform::poison_topic)},
-             {"key", record.print.value()}});
+             {"key", record.fingerprint.value()}});
     }
 }
 
--- a/services/gateway/poison_service.hpp
+++ b/services/gateway/poison_service.hpp
@@ -33,7 +33,7 @@
     gateway_state& m_state;
     peer_exchange& m_peers;
     http_caller m_store;
-    absl::flat_hash_set<request_print> m_proved; ///< logged as such
+    absl::flat_hash_set<request_fingerprint> m_proved; ///< logged as such
 };
 
 } // namespace daleshelf
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -220,7 +220,7 @@
     const auto suspect = m_suspect;
     if (suspect)
     {
-        m_state.suspects.begin(suspect->print, server.id);
+        m_state.suspects.begin(suspect->fingerprint, server.id);
     }
     count_work();
     const auto sent_at = monotonic::now();
@@ -294,7 +294,7 @@
     }
     else if (suspect)
     {
-        m_state.suspects.end(suspect->print, server.id);
+        m_state.suspects.end(suspect->fingerprint, server.id);
     }
     m_state.choice.end(server.life());
     if (end != attempt_end::abandoned)
--- a/services/gateway/request_flow.hpp
+++ b/services/gateway/request_flow.hpp
@@ -109,7 +109,7 @@
     choose_permitted(choice_request& wanted);
     [[nodiscard]] request_content content() const;
     void recognise();
-    [[nodiscard]] bool must_wait(const request_print& print) const;
+    [[nodiscard]] bool must_wait(const request_fingerprint& print) const;
     awaitable<void> hold_until_told();
     awaitable<bool> is_stopped_as_poison();
     void mark_suspect(choice_request& wanted);
--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -36,11 +36,11 @@
         return;
     }
     const auto shape = shape_of(content());
-    if (!m_state.poison.may_know(shape))
+    if (!m_state.poison.has_shape(shape))
     {
         return;
     }
-    const auto print = print_of(content());
+    const auto print = fingerprint_of(content());
     if (m_state.poison.find(print) != nullptr)
     {
         m_suspect = suspect_request{print, shape, m_service->name};
@@ -48,13 +48,13 @@
 }
 
 // Whether it has ended several servers and another one is on its way.
-bool request_flow::must_wait(const request_print& print) const
+bool request_flow::must_wait(const request_fingerprint& print) const
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
     const auto now = gateway_state::now();
     const bool is_alone = !m_state.suspects.has(print);
     return m_state.poison.must_wait(print, servers, now) ||
-           (!is_alone && m_state.poison.goes_alone(print, servers, now));
+           (!is_alone && m_state.poison.is_serialized(print, servers, now));
 }
 
 // What other hosts saw of its last end is there in a moment: most that wait for
@@ -62,10 +62,10 @@
 awaitable<void> request_flow::hold_until_told()
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
-    const auto judged =
-        m_state.poison.judge(m_suspect->print, servers, gateway_state::now());
+    const auto judged = m_state.poison.judge(m_suspect->fingerprint, servers,
+                                             gateway_state::now());
     const bool has_time = time_left() > hold_time * least_holds_left;
-    if (judged != suspicion::suspect || !must_wait(m_suspect->print) ||
+    if (judged != suspicion::suspect || !must_wait(m_suspect->fingerprint) ||
         !has_time)
     {
         co_return;
@@ -90,14 +90,14 @@
         co_return false;
     }
     const auto now = gateway_state::now();
-    const auto& print = m_suspect->print;
+    const auto& print = m_suspect->fingerprint;
     const auto servers = m_state.servers.usable(m_service->name).size();
     const auto judged = m_state.poison.judge(print, servers, now);
-    const bool is_proved = judged == suspicion::proved;
-    const bool may_go = is_proved
-                            ? m_state.poison.may_try(print, m_state.self, now)
-                            : !must_wait(print);
-    if (m_state.poison.has_news())
+    const bool is_proved = judged == suspicion::confirmed;
+    const bool may_go =
+        is_proved ? m_state.poison.acquire_probe(print, m_state.self, now)
+                  : !must_wait(print);
+    if (m_state.poison.has_unsent())
     {
         m_state.poison_news.notify();
     }
@@ -112,7 +112,7 @@
     }
     refund_quota();
     const auto wait = is_proved ? absl::ToChronoMilliseconds(
-                                      m_state.poison.time_to_trial(print, now))
+                                      m_state.poison.time_to_probe(print, now))
                                 : retry_when_suspected;
     co_await refuse(http_status::unavailable,
                     is_proved ? "ends_servers" : "may_end_servers",
@@ -139,16 +139,16 @@
         note_open(server, end, began);
         return;
     }
-    const whole_answer given{{server.id, server.born}, m_state.self};
+    const completed_response given{{server.id, server.born}, m_state.self};
     const auto now = gateway_state::now();
     if (m_suspect)
     {
-        m_state.poison.note_whole(m_suspect->print, given, now);
+        m_state.poison.record_response(m_suspect->fingerprint, given, now);
         m_state.poison_news.notify();
     }
     else
     {
-        m_state.poison.note_answered(shape_of(content()), given, now);
+        m_state.poison.record_shape_response(shape_of(content()), given, now);
     }
 }
 
@@ -165,7 +165,7 @@
         return;
     }
     const auto request = m_suspect.value_or(suspect_request{
-        print_of(content()), shape_of(content()), m_service->name});
+        fingerprint_of(content()), shape_of(content()), m_service->name});
     m_state.ends.note_open(server, request, gateway_state::to_time(began));
     if (is_broken)
     {
--- a/services/gateway/server_ends.cpp
+++ b/services/gateway/server_ends.cpp
@@ -81,13 +81,13 @@
 void server_ends::note_open(const server_entry& server,
                             const suspect_request& request, absl::Time began)
 {
-    m_open.note({server.id, server.born},
-                {request, began, gateway_state::now()});
+    m_open.add({server.id, server.born},
+               {request, began, gateway_state::now()});
 }
 
 void server_ends::ask_soon(const server_entry& server, end_sign sign)
 {
-    const server_life life{server.id, server.born};
+    const server_incarnation life{server.id, server.born};
     if (!was_to_stay(server) || !m_open.has(life, gateway_state::now()))
     {
         return;
@@ -119,7 +119,7 @@
 
 awaitable<void> server_ends::ask_port(server_entry server, end_sign sign)
 {
-    const server_life life{server.id, server.born};
+    const server_incarnation life{server.id, server.born};
     const auto endpoint = parse_endpoint(server.address);
     if (!endpoint)
     {
@@ -160,10 +160,10 @@
     boot_timer timer(m_state.context, ask_pause);
     co_await timer.async_wait(use_result);
     co_await ask(server, end_sign::left);
-    m_state.suspects.end(request.print, server.id);
+    m_state.suspects.end(request.fingerprint, server.id);
 }
 
-void server_ends::note_over(const server_life& life, end_sign sign)
+void server_ends::note_over(const server_incarnation& life, end_sign sign)
 {
     for (const auto& attempt : m_open.take(life, gateway_state::now()))
     {
@@ -173,23 +173,23 @@
 
 // How long it was there counts to the end, since how long it ran on after it
 // was let go is not known.
-void server_ends::note_end(const server_life& life, const open_attempt& attempt,
-                           end_sign sign)
+void server_ends::note_end(const server_incarnation& life,
+                           const unanswered_attempt& attempt, end_sign sign)
 {
     const auto now = gateway_state::now();
     const auto& request = attempt.request;
-    m_state.poison.note_end(request, life, now - attempt.began, now);
+    m_state.poison.record_crash(request, life, now - attempt.began, now);
     m_state.poison_news.notify();
-    const auto* record = m_state.poison.find(request.print);
+    const auto* record = m_state.poison.find(request.fingerprint);
     const auto servers = m_state.servers.usable(request.service).size();
     const auto ran_ms = absl::ToInt64Milliseconds(now - attempt.began);
     const auto open_ms = absl::ToInt64Milliseconds(now - attempt.ended);
     log(events::upstream_ended,
         {{"server", life.server.value()},
-         {"born", std::to_string(life.born.value())},
+         {"born", std::to_string(life.started_ms.value())},
          {"sign", std::string(name_of(sign))},
-         {"print", request.print.value()},
-         {"ends", std::to_string(record->ends.size())},
+         {"print", request.fingerprint.value()},
+         {"ends", std::to_string(record->crashes.size())},
          {"weight", std::to_string(m_state.poison.weight(*record, servers))},
          {"ran_ms", std::to_string(ran_ms)},
          {"open_ms", std::to_string(open_ms)}});
--- a/services/gateway/server_ends.hpp
+++ b/services/gateway/server_ends.hpp
@@ -6,7 +6,7 @@
 
 #include <ingress/server_directory.hpp>
 #include <map>
-#include <poison/open_attempts.hpp>
+#include <poison/unanswered_attempts.hpp>
 #include <string_view>
 
 namespace daleshelf
@@ -49,19 +49,19 @@
     void ask_later(const server_entry& server, const suspect_request& request);
 
     /// Notes that the life is over, as is known for sure.
-    void note_over(const server_life& life, end_sign sign);
+    void note_over(const server_incarnation& life, end_sign sign);
 
 private:
     [[nodiscard]] bool was_to_stay(const server_entry& server) const;
     awaitable<void> ask_port(server_entry server, end_sign sign);
     awaitable<void> wait_and_ask(server_entry server, suspect_request request);
-    void note_end(const server_life& life, const open_attempt& attempt,
-                  end_sign sign);
+    void note_end(const server_incarnation& life,
+                  const unanswered_attempt& attempt, end_sign sign);
 
     gateway_state& m_state;
-    open_attempts m_open;
+    unanswered_attempts m_open;
     /// Lives whose ports are being asked, and whether to ask once more then.
-    std::map<server_life, bool> m_asked;
+    std::map<server_incarnation, bool> m_asked;
 };
 
 /// @return its name in the log
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -8,8 +8,8 @@
 #include <peers/machine_state.hpp>
 #include <peers/topic_records.hpp>
 #include <peers/window_counts.hpp>
+#include <poison/poison_detector.hpp>
 #include <poison/poison_message.hpp>
-#include <poison/poison_watch.hpp>
 #include <quotas/quota_message.hpp>
 #include <rollouts/rollout_message.hpp>
 #include <upstream_limits/limit_message.hpp>
@@ -50,12 +50,12 @@
     require(again.has_value(), "what was written can be read");
     require(encode_poison(*again, now) == written,
             "what was read twice is the same");
-    poison_watch watch{poison_options()};
+    poison_detector watch{poison_options()};
     for (const auto& record : *records)
     {
         watch.merge(record, now);
-        (void)watch.judge(record.print, 3, now);
-        (void)watch.time_to_trial(record.print, now);
+        (void)watch.judge(record.fingerprint, 3, now);
+        (void)watch.time_to_probe(record.fingerprint, now);
     }
 }
 
--- a/tests/gateway/poison_path_test.cpp
+++ b/tests/gateway/poison_path_test.cpp
@@ -100,11 +100,11 @@
             {
                 const auto now = gateway_state::now();
                 poison_record told;
-                told.print = suspect.print;
+                told.fingerprint = suspect.fingerprint;
                 told.shape = suspect.shape;
                 told.service = suspect.service;
-                told.ends[{upstream_id("z"), {}}] = {now - absl::Seconds(1),
-                                                     absl::Seconds(1)};
+                told.crashes[{upstream_id("z"), {}}] = {now - absl::Seconds(1),
+                                                        absl::Seconds(1)};
                 m_state.poison.merge(told, now);
             });
     }
@@ -115,10 +115,10 @@
     {
         const auto now = gateway_state::now();
         poison_record reported;
-        reported.print = suspect.print;
+        reported.fingerprint = suspect.fingerprint;
         reported.shape = suspect.shape;
         reported.service = suspect.service;
-        reported.ends[{upstream_id(id), {}}] = {now - age, absl::Seconds(1)};
+        reported.crashes[{upstream_id(id), {}}] = {now - age, absl::Seconds(1)};
         m_state.poison.merge(reported, now);
     }
 
@@ -131,7 +131,7 @@
         m_later.async_wait(
             [this](const error_code&)
             {
-                const suspect_request other{request_print("other"), 1,
+                const suspect_request other{request_fingerprint("other"), 1,
                                             service_name("service")};
                 for (const auto* id : {"x", "y"})
                 {
@@ -140,10 +140,10 @@
             });
     }
 
-    void wait_until_proved(const request_print& print)
+    void wait_until_proved(const request_fingerprint& print)
     {
         auto judged = suspicion::none;
-        while (judged != suspicion::proved)
+        while (judged != suspicion::confirmed)
         {
             on_loop(
                 [&] {
@@ -160,13 +160,13 @@
 TEST_F(poison_path, a_request_that_has_ended_two_servers_is_refused)
 {
     const request_content content{{}, "h", "GET", "/unsafe/deadly", ""};
-    const suspect_request suspect{print_of(content), shape_of(content),
+    const suspect_request suspect{fingerprint_of(content), shape_of(content),
                                   service_name("service")};
     hear_of_an_end(suspect);
     const ending_server ending;
     list(ending, "a");
     EXPECT_TRUE(ask("/unsafe/deadly").starts_with("HTTP/1.1 502 "));
-    wait_until_proved(suspect.print);
+    wait_until_proved(suspect.fingerprint);
     add_server("c", m_sound);
     const auto answer = ask("/unsafe/deadly");
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
@@ -184,7 +184,7 @@
 TEST_F(poison_path, a_request_is_held_until_its_last_crash_is_settled)
 {
     const request_content content{{}, "h", "GET", "/unsafe/popular", ""};
-    const suspect_request suspect{print_of(content), shape_of(content),
+    const suspect_request suspect{fingerprint_of(content), shape_of(content),
                                   service_name("service")};
     add_server("c", m_sound);
     on_loop(
@@ -192,7 +192,7 @@
         {
             merge_crash(suspect, "v", absl::Seconds(2));
             merge_crash(suspect, "w", absl::Milliseconds(50));
-            EXPECT_TRUE(m_state.poison.must_wait(suspect.print, 1,
+            EXPECT_TRUE(m_state.poison.must_wait(suspect.fingerprint, 1,
                                                  gateway_state::now()));
             merge_other_crashes_later();
         });
@@ -229,7 +229,7 @@
             entry.is_draining = true;
             m_state.servers.set(entry);
             m_state.ends.note_open(
-                entry, {request_print("p"), 1, service_name("service")},
+                entry, {request_fingerprint("p"), 1, service_name("service")},
                 gateway_state::now() - absl::Seconds(1));
             asio::co_spawn(
                 m_context,
@@ -262,13 +262,13 @@
             request.service = service_name("service");
             request.facts = &facts;
             m_state.choice.start({upstream_id("a"), {}}, request, 0);
-            m_state.suspects.begin(request_print("p"), upstream_id("b"));
+            m_state.suspects.begin(request_fingerprint("p"), upstream_id("b"));
             request.is_suspect = true;
             request.suspected_at = m_state.suspects.servers();
             const auto* chosen =
                 m_state.choice.choose(request, gateway_state::now());
             EXPECT_EQ(chosen->id, upstream_id("c"));
-            m_state.suspects.end(request_print("p"), upstream_id("b"));
+            m_state.suspects.end(request_fingerprint("p"), upstream_id("b"));
             EXPECT_TRUE(m_state.suspects.servers().empty());
         });
 }
--- a/tests/gateway/server_ends_test.cpp
+++ b/tests/gateway/server_ends_test.cpp
@@ -76,9 +76,10 @@
     {
         bool is_known = false;
         on_loop(
-            [&] {
-                is_known =
-                    m_state.poison.find(print_of(content_of(path))) != nullptr;
+            [&]
+            {
+                is_known = m_state.poison.find(
+                               fingerprint_of(content_of(path))) != nullptr;
             });
         return is_known;
     }
@@ -159,13 +160,13 @@
 TEST_F(server_ends, a_suspect_that_was_let_go_is_under_way_until_its_end_shows)
 {
     const auto path = "/unsafe/deadly";
-    const auto print = print_of(content_of(path));
-    const server_life elsewhere{upstream_id("z"), {}};
+    const auto print = fingerprint_of(content_of(path));
+    const server_incarnation elsewhere{upstream_id("z"), {}};
     on_loop(
         [&]
         {
             const auto now = gateway_state::now();
-            m_state.poison.note_end(
+            m_state.poison.record_crash(
                 {print, shape_of(content_of(path)), service_name("service")},
                 elsewhere, absl::Seconds(1), now - absl::Seconds(1));
         });
@@ -183,7 +184,7 @@
             [&]
             {
                 is_under_way = m_state.suspects.has(print);
-                ends = m_state.poison.find(print)->ends.size();
+                ends = m_state.poison.find(print)->crashes.size();
             });
     }
     EXPECT_EQ(ends, 2);
--- a/tests/poison/crash_cover_test.cpp
+++ b/tests/poison/crash_cover_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr double age_spread = 3;
 
-server_life life(int number)
+server_incarnation incarnation_of(int number)
 {
     return {upstream_id("s" + std::to_string(number)), {}};
 }
@@ -19,10 +19,11 @@
                         std::initializer_list<int> upstreams)
 {
     poison_record record;
-    record.print = request_print(name);
+    record.fingerprint = request_fingerprint(name);
     for (const int upstream : upstreams)
     {
-        record.ends[life(upstream)] = {absl::UnixEpoch(), absl::Seconds(1)};
+        record.crashes[incarnation_of(upstream)] = {absl::UnixEpoch(),
+                                                    absl::Seconds(1)};
     }
     return record;
 }
@@ -51,8 +52,8 @@
     EXPECT_FALSE(m_cover.explains(second));
 }
 
-// Of two with the same crashes either may be the cause: none releases the
-// other.
+// Of two requests with the same crashes either may be the cause: neither
+// releases the other.
 TEST_F(crash_cover_test, requests_with_the_same_crashes_stay)
 {
     const auto first = record_of("a", {1, 2, 3});
@@ -62,11 +63,11 @@
     EXPECT_FALSE(m_cover.explains(second));
 }
 
-// A request that ran for a tenth of its usual time did not cause that crash.
+// A request that ran for a tenth of its usual time is not the cause of a crash.
 TEST_F(crash_cover_test, a_request_explains_no_crash_that_it_was_too_young_for)
 {
     auto young = record_of("young", {1, 2, 3, 4});
-    young.ends[life(1)].ran = absl::Milliseconds(100);
+    young.crashes[incarnation_of(1)].request_age = absl::Milliseconds(100);
     m_cover.set_confirmed({young});
     EXPECT_FALSE(m_cover.explains(record_of("other", {1, 2})));
     EXPECT_TRUE(m_cover.explains(record_of("other", {2, 3})));
@@ -75,7 +76,7 @@
 TEST_F(crash_cover_test, a_request_that_was_answered_more_explains_nothing)
 {
     auto answered = record_of("answered", {1, 2, 3});
-    answered.whole.insert({life(8), host_id("h")});
+    answered.responses.insert({incarnation_of(8), host_id("h")});
     m_cover.set_confirmed({answered});
     EXPECT_FALSE(m_cover.explains(record_of("other", {1, 2})));
 }
--- a/tests/poison/poison_fleet.cpp
+++ b/tests/poison/poison_fleet.cpp
@@ -1,7 +1,7 @@
 #include "poison_fleet.hpp"
 
 #include <algorithm>
-#include <poison/poison_watch.hpp>
+#include <poison/poison_detector.hpp>
 #include <poison/suspects_in_flight.hpp>
 #include <random>
 #include <set>
@@ -14,23 +14,24 @@
 
 constexpr double tick_s = 0.05;
 constexpr double boot_s = 4;
-constexpr double run_s = 0.7;
-// Within which all hosts hear what is proved.
-constexpr double tell_time_s = 0.5;
-// For which a host holds a request whose last end others may have seen more of.
+constexpr double attempt_s = 0.7;
+// Time within which a confirmation reaches all hosts.
+constexpr double gossip_time_s = 0.5;
+// Time for which a host holds a request while reports of its last crash are
+// outstanding.
 constexpr double hold_s = 0.3;
-constexpr std::size_t told_at_once = 8;
-constexpr std::size_t most_told = 16;
+constexpr std::size_t gossip_fanout = 8;
+constexpr std::size_t batch_limit = 16;
 
 absl::Time at(double seconds)
 {
     return absl::UnixEpoch() + absl::Seconds(1000 + seconds);
 }
 
-class fleet_play
+class fleet_simulation
 {
 public:
-    fleet_play(const fleet_plan& plan, std::uint32_t seed)
+    fleet_simulation(const fleet_plan& plan, std::uint32_t seed)
         : m_plan(plan), m_random(seed)
     {
         for (int host = 0; host < plan.hosts; ++host)
@@ -43,17 +44,17 @@
         }
     }
 
-    fleet_result play()
+    fleet_result simulate()
     {
         const auto ticks = static_cast<int>(m_plan.seconds / tick_s);
         for (int tick = 0; tick < ticks; ++tick)
         {
             m_now = tick * tick_s;
-            strike();
-            end_runs();
-            begin_held();
-            begin_requests();
-            tell();
+            inject_faults();
+            finish_attempts();
+            resume_held();
+            start_requests();
+            gossip();
         }
         return m_result;
     }
@@ -61,7 +62,7 @@
 private:
     struct host
     {
-        poison_watch watch{poison_options()};
+        poison_detector detector{poison_options()};
         suspects_in_flight suspects;
     };
 
@@ -71,23 +72,23 @@
         double up_at = 0;
     };
 
-    struct run
+    struct attempt
     {
         std::string content;
         std::size_t host = 0;
         std::size_t server = 0;
-        std::string life;
+        std::string incarnation;
         double began = 0;
-        int tries = 1;
+        int attempt_count = 1;
         bool is_suspect = false;
     };
 
-    /// A request that waits for what is known elsewhere of its last end.
+    /// A request that waits for other hosts' reports of its last crash.
     struct held_request
     {
         std::string content;
         std::size_t host = 0;
-        int tries = 1;
+        int attempt_count = 1;
         double until = 0;
     };
 
@@ -118,20 +119,21 @@
         return content.starts_with("deadly");
     }
 
-    void strike()
+    void inject_faults()
     {
-        for (const auto storm : m_plan.storms)
+        for (const auto crash_time : m_plan.mass_crashes)
         {
-            for (std::size_t index = 0; std::abs(storm - m_now) < tick_s / 2 &&
-                                        index < m_servers.size() / 3;
+            for (std::size_t index = 0;
+                 std::abs(crash_time - m_now) < tick_s / 2 &&
+                 index < m_servers.size() / 3;
                  ++index)
             {
-                end_server(pick(m_servers.size()));
+                crash_server(pick(m_servers.size()));
             }
         }
-        for (const auto restart : m_plan.restarts)
+        for (const auto restart_time : m_plan.restarts)
         {
-            if (std::abs(restart - m_now) >= tick_s / 2)
+            if (std::abs(restart_time - m_now) >= tick_s / 2)
             {
                 continue;
             }
@@ -142,32 +144,32 @@
         }
     }
 
-    // What is proved stands on the log; another host tells the rest.
+    // Reads the confirmed records from the log and the others from one peer.
     void restart_host(std::size_t index)
     {
-        std::erase_if(m_runs,
-                      [&](const run& one) { return one.host == index; });
+        std::erase_if(m_attempts,
+                      [&](const attempt& one) { return one.host == index; });
         m_hosts[index] = host();
-        for (const auto& [print, record] : m_log)
+        for (const auto& [fingerprint, record] : m_log)
         {
-            m_hosts[index].watch.merge(record, at(m_now));
+            m_hosts[index].detector.merge(record, at(m_now));
         }
-        const auto& teller = m_hosts[pick(m_hosts.size())];
-        for (const auto& record : teller.watch.newest(most_told))
+        const auto& peer = m_hosts[pick(m_hosts.size())];
+        for (const auto& record : peer.detector.newest(batch_limit))
         {
-            m_hosts[index].watch.merge(record, at(m_now));
+            m_hosts[index].detector.merge(record, at(m_now));
         }
     }
 
-    // All that runs there is broken off and, once, tried again.
-    void end_server(std::size_t index)
+    // Breaks all attempts on the server; each request is retried once.
+    void crash_server(std::size_t index)
     {
-        const auto life = m_servers[index].id;
-        std::vector<run> broken;
-        std::erase_if(m_runs,
-                      [&](const run& one)
+        const auto incarnation = m_servers[index].id;
+        std::vector<attempt> broken;
+        std::erase_if(m_attempts,
+                      [&](const attempt& one)
                       {
-                          const bool is_there = one.life == life;
+                          const bool is_there = one.incarnation == incarnation;
                           if (is_there)
                           {
                               broken.push_back(one);
@@ -180,7 +182,7 @@
         {
             if (is_deadly(one.content))
             {
-                count_end(one, counted.insert(one.content).second);
+                count_crash(one, counted.insert(one.content).second);
             }
         }
         for (auto& one : broken)
@@ -188,47 +190,49 @@
             auto& host = m_hosts[one.host];
             if (one.is_suspect)
             {
-                host.suspects.end(request_print(one.content),
-                                  upstream_id(life));
+                host.suspects.end(request_fingerprint(one.content),
+                                  upstream_id(incarnation));
             }
-            host.watch.note_end({request_print(one.content), shape(one.content),
-                                 service_name("service")},
-                                {upstream_id(life), {}},
-                                absl::Seconds(m_now - one.began), at(m_now));
-            if (one.tries < 2)
+            host.detector.record_crash(
+                {request_fingerprint(one.content), shape(one.content),
+                 service_name("service")},
+                {upstream_id(incarnation), {}},
+                absl::Seconds(m_now - one.began), at(m_now));
+            if (one.attempt_count < 2)
             {
-                send(one.content, one.host, one.tries + 1);
+                send(one.content, one.host, one.attempt_count + 1);
             }
         }
     }
 
-    // @param is_first of the runs of its content at this server
-    void count_end(const run& one, bool is_first)
+    // @param is_first whether this is the first attempt of its content that is
+    // counted for this crash
+    void count_crash(const attempt& one, bool is_first)
     {
-        auto& ends = m_result.ends[one.content];
+        auto& crashes = m_result.crashes[one.content];
         const bool is_late =
-            ends.size() >= 3 && one.began > ends[2] + tell_time_s;
-        m_result.late_tries += is_late ? 1 : 0;
+            crashes.size() >= 3 && one.began > crashes[2] + gossip_time_s;
+        m_result.late_attempts += is_late ? 1 : 0;
         if (is_first)
         {
-            ends.push_back(m_now);
+            crashes.push_back(m_now);
         }
     }
 
-    void end_runs()
+    void finish_attempts()
     {
-        std::vector<std::size_t> ended;
-        std::vector<run> answered;
-        std::erase_if(m_runs,
-                      [&](const run& one)
+        std::vector<std::size_t> crashed;
+        std::vector<attempt> answered;
+        std::erase_if(m_attempts,
+                      [&](const attempt& one)
                       {
-                          if (m_now - one.began < run_s)
+                          if (m_now - one.began < attempt_s)
                           {
                               return false;
                           }
                           if (is_deadly(one.content))
                           {
-                              ended.push_back(one.server);
+                              crashed.push_back(one.server);
                               return false;
                           }
                           answered.push_back(one);
@@ -237,34 +241,36 @@
         for (const auto& one : answered)
         {
             auto& host = m_hosts[one.host];
-            const request_print print(one.content);
+            const request_fingerprint fingerprint(one.content);
             if (one.is_suspect)
             {
-                host.suspects.end(print, upstream_id(one.life));
+                host.suspects.end(fingerprint, upstream_id(one.incarnation));
             }
-            const whole_answer life{{upstream_id(one.life), {}},
-                                    host_id(std::to_string(one.host))};
-            host.watch.note_answered(shape(one.content), life, at(m_now));
-            host.watch.note_whole(print, life, at(m_now));
+            const completed_response response{
+                {upstream_id(one.incarnation), {}},
+                host_id(std::to_string(one.host))};
+            host.detector.record_shape_response(shape(one.content), response,
+                                                at(m_now));
+            host.detector.record_response(fingerprint, response, at(m_now));
         }
-        for (const auto server : ended)
+        for (const auto server : crashed)
         {
             const bool is_up = m_servers[server].up_at <= m_now;
             if (is_up)
             {
-                end_server(server);
+                crash_server(server);
             }
         }
     }
 
-    void begin_requests()
+    void start_requests()
     {
         const auto innocent = m_plan.requests_per_s * tick_s;
         for (int index = 0; index < static_cast<int>(innocent) + 1; ++index)
         {
             if (happens(innocent / (static_cast<int>(innocent) + 1)))
             {
-                // A few are asked for often.
+                // Five contents get a fifth of the requests.
                 const auto content =
                     happens(0.2) ? pick(5) : 5 + pick(m_plan.contents);
                 send("c" + std::to_string(content), pick(m_hosts.size()), 1);
@@ -279,7 +285,7 @@
         }
     }
 
-    void begin_held()
+    void resume_held()
     {
         const auto held = std::exchange(m_held, {});
         for (const auto& one : held)
@@ -289,63 +295,66 @@
                 m_held.push_back(one);
                 continue;
             }
-            send(one.content, one.host, one.tries, true);
+            send(one.content, one.host, one.attempt_count, true);
         }
     }
 
-    void send(const std::string& content, std::size_t host_index, int tries,
-              bool was_held = false)
+    void send(const std::string& content, std::size_t host_index,
+              int attempt_count, bool was_held = false)
     {
         auto& host = m_hosts[host_index];
-        const request_print print(content);
+        const request_fingerprint fingerprint(content);
         const auto judged =
-            host.watch.judge(print, m_servers.size(), at(m_now));
+            host.detector.judge(fingerprint, m_servers.size(), at(m_now));
         m_result.innocent += is_deadly(content) || was_held ? 0 : 1;
         const bool must_wait =
-            host.watch.must_wait(print, m_servers.size(), at(m_now)) ||
-            (host.suspects.has(print) &&
-             host.watch.goes_alone(print, m_servers.size(), at(m_now)));
-        const bool may_hold =
+            host.detector.must_wait(fingerprint, m_servers.size(), at(m_now)) ||
+            (host.suspects.has(fingerprint) &&
+             host.detector.is_serialized(fingerprint, m_servers.size(),
+                                         at(m_now)));
+        const bool can_hold =
             m_plan.waiting == waiting_policy::hold && !was_held;
-        if (judged != suspicion::proved && must_wait && may_hold)
+        if (judged != suspicion::confirmed && must_wait && can_hold)
         {
-            m_held.push_back({content, host_index, tries, m_now + hold_s});
+            m_held.push_back(
+                {content, host_index, attempt_count, m_now + hold_s});
             return;
         }
-        if (judged == suspicion::proved || must_wait)
+        if (judged == suspicion::confirmed || must_wait)
         {
-            keep_on_log(host, print);
-            m_result.refused_innocent += is_deadly(content) ? 0 : 1;
+            log_if_confirmed(host, fingerprint);
+            m_result.rejected_innocent += is_deadly(content) ? 0 : 1;
             return;
         }
-        const bool is_suspect = tries > 1 || judged == suspicion::suspect;
+        const bool is_suspect =
+            attempt_count > 1 || judged == suspicion::suspect;
         const auto place = choose(host, is_suspect);
         if (!place)
         {
             return;
         }
-        const auto life = m_servers[*place].id;
+        const auto incarnation = m_servers[*place].id;
         if (is_suspect)
         {
-            host.suspects.begin(print, upstream_id(life));
+            host.suspects.begin(fingerprint, upstream_id(incarnation));
         }
-        if (is_deadly(content) && m_log.contains(print) &&
-            m_log.at(print).last_end() + absl::Seconds(0.5) < at(m_now))
+        if (is_deadly(content) && m_log.contains(fingerprint) &&
+            m_log.at(fingerprint).last_crash() + absl::Seconds(0.5) < at(m_now))
         {
-            ++m_result.sent_after_proof;
+            ++m_result.sent_after_confirmation;
         }
-        m_runs.push_back(
-            {content, host_index, *place, life, m_now, tries, is_suspect});
+        m_attempts.push_back({content, host_index, *place, incarnation, m_now,
+                              attempt_count, is_suspect});
     }
 
     std::optional<std::size_t> choose(const host& host, bool is_suspect)
     {
         std::vector<int> load(m_servers.size(), 0);
-        for (const auto& one : m_runs)
+        for (const auto& one : m_attempts)
         {
             ++load[one.server];
         }
-        const auto crowded = host.suspects.servers();
+        const auto suspect_servers = host.suspects.servers();
         std::optional<std::size_t> best;
         double best_cost = 0;
         for (std::size_t index = 0; index < m_servers.size(); ++index)
@@ -356,7 +365,7 @@
             }
             const bool has_suspect =
                 is_suspect &&
-                crowded.contains(upstream_id(m_servers[index].id));
+                suspect_servers.contains(upstream_id(m_servers[index].id));
             const auto cost = load[index] + (has_suspect ? 50.0 : 0.0) +
                               std::uniform_real_distribution<>(0, 1)(m_random);
             if (!best || cost < best_cost)
@@ -368,41 +377,43 @@
         return best;
     }
 
-    void keep_on_log(const host& host, const request_print& print)
+    void log_if_confirmed(const host& host,
+                          const request_fingerprint& fingerprint)
     {
-        const auto* record = host.watch.find(print);
-        if (record != nullptr && record->is_proved)
+        const auto* record = host.detector.find(fingerprint);
+        if (record != nullptr && record->is_confirmed)
         {
-            m_log.try_emplace(print, *record);
+            m_log.try_emplace(fingerprint, *record);
         }
     }
 
-    void tell()
+    void gossip()
     {
-        std::vector<std::pair<std::size_t, poison_record>> words;
+        std::vector<std::pair<std::size_t, poison_record>> messages;
         for (auto& host : m_hosts)
         {
-            for (const auto& record : host.watch.take_news(most_told))
+            for (const auto& record : host.detector.take_unsent(batch_limit))
             {
-                host.watch.judge(record.print, m_servers.size(), at(m_now));
-                const auto* newest = host.watch.find(record.print);
+                host.detector.judge(record.fingerprint, m_servers.size(),
+                                    at(m_now));
+                const auto* newest = host.detector.find(record.fingerprint);
                 if (newest == nullptr)
                 {
                     continue;
                 }
-                keep_on_log(host, record.print);
-                for (std::size_t index = 0; index < told_at_once; ++index)
+                log_if_confirmed(host, record.fingerprint);
+                for (std::size_t index = 0; index < gossip_fanout; ++index)
                 {
-                    if (!happens(m_plan.lost))
+                    if (!happens(m_plan.loss_rate))
                     {
-                        words.emplace_back(pick(m_hosts.size()), *newest);
+                        messages.emplace_back(pick(m_hosts.size()), *newest);
                     }
                 }
             }
         }
-        for (const auto& [to, record] : words)
+        for (const auto& [to, record] : messages)
         {
-            m_hosts[to].watch.merge(record, at(m_now));
+            m_hosts[to].detector.merge(record, at(m_now));
         }
     }
 
@@ -410,9 +421,9 @@
     std::mt19937 m_random;
     std::vector<host> m_hosts;
     std::vector<server> m_servers;
-    std::vector<run> m_runs;
+    std::vector<attempt> m_attempts;
     std::vector<held_request> m_held;
-    std::map<request_print, poison_record> m_log;
+    std::map<request_fingerprint, poison_record> m_log;
     fleet_result m_result;
     double m_now = 0;
     int m_next_id = 0;
@@ -420,9 +431,9 @@
 
 } // namespace
 
-fleet_result fleet::play() const
+fleet_result fleet::simulate() const
 {
-    return fleet_play(m_plan, m_seed).play();
+    return fleet_simulation(m_plan, m_seed).simulate();
 }
 
 fleet_plan drawn_plan(std::uint32_t seed)
@@ -436,12 +447,12 @@
     plan.requests_per_s = 7.0 * plan.servers;
     plan.contents = 40 * plan.servers;
     plan.deadly = in(1, 3);
-    plan.lost = 0.01 * in(0, 10);
+    plan.loss_rate = 0.01 * in(0, 10);
     plan.seconds = 15;
-    const auto storms = in(0, 3);
-    for (int storm = 0; storm < storms; ++storm)
+    const auto mass_crashes = in(0, 3);
+    for (int event = 0; event < mass_crashes; ++event)
     {
-        plan.storms.push_back(in(1, 14));
+        plan.mass_crashes.push_back(in(1, 14));
         if (seed % 2 == 1)
         {
             plan.restarts.push_back(in(1, 14));
--- a/tests/poison/poison_fleet.hpp
+++ b/tests/poison/poison_fleet.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// A fleet that runs requests, some of which end servers, while servers end of
-/// other causes, hosts start again and datagrams are lost. Everything is
-/// stepped by a clock of the test.
+/// A simulated fleet that serves requests, some of which crash servers, while
+/// servers crash for other reasons, hosts restart and datagrams are lost. The
+/// simulation advances its own clock.
 #pragma once
 
 #include <cstdint>
@@ -19,34 +19,39 @@
     hold,   ///< judges it again after a pause, as the gateway does
 };
 
-/// One play's size and troubles.
+/// Size and faults of one simulation.
 struct fleet_plan
 {
     waiting_policy waiting = waiting_policy::hold;
     int hosts = 8;
     int servers = 9;
     double requests_per_s = 60;
-    int contents = 400; ///< that come again and again
+    int contents = 400; ///< of innocent requests, which recur
     int deadly = 1;
     double deadly_per_s = 0.6;
-    double lost = 0.03;           ///< part of the datagrams
-    std::vector<double> storms;   ///< when a third of the servers end
-    std::vector<double> restarts; ///< when a third of the hosts start anew
+    double loss_rate = 0.03; ///< share of the datagrams that are lost
+    /// Times in seconds; each crashes a third of the servers.
+    std::vector<double> mass_crashes;
+    /// Times in seconds; each restarts a third of the hosts.
+    std::vector<double> restarts;
     double seconds = 30;
 };
 
-/// What a play has shown.
+/// Result of one simulation.
 struct fleet_result
 {
-    std::map<std::string, std::vector<double>> ends; ///< by deadly content
-    /// Tries of one that ended a server, begun long after its third end.
-    int late_tries = 0;
+    /// Times of crashes in seconds, by deadly content.
+    std::map<std::string, std::vector<double>> crashes;
+    /// Attempts of deadly requests that crashed a server and began after gossip
+    /// of the third crash had reached all hosts.
+    int late_attempts = 0;
     int innocent = 0;
-    int refused_innocent = 0;
-    int sent_after_proof = 0;
+    int rejected_innocent = 0;
+    int sent_after_confirmation = 0;
 };
 
-/// One play of a plan. Times of runs, places and losses come from the seed.
+/// One simulation of a plan. Arrivals, choices of servers and losses are drawn
+/// from the seed.
 class fleet
 {
 public:
@@ -55,7 +60,7 @@
     {
     }
 
-    [[nodiscard]] fleet_result play() const;
+    [[nodiscard]] fleet_result simulate() const;
 
 private:
     fleet_plan m_plan;
--- a/tests/poison/poison_fleet_test.cpp
+++ b/tests/poison/poison_fleet_test.cpp
@@ -4,7 +4,7 @@
 #include <rapidcheck/gtest.h>
 
 #include <algorithm>
-#include <poison/poison_watch.hpp>
+#include <poison/poison_detector.hpp>
 #include <random>
 
 namespace daleshelf
@@ -17,19 +17,19 @@
     return absl::UnixEpoch() + absl::Seconds(1000 + seconds);
 }
 
-// Three ends, beyond those at which it lay when the third came, or was sent
-// before all had heard.
+// A deadly request crashes three servers, plus those that ran it at the third
+// crash or received it before gossip of that crash reached all hosts.
 void expect_bounded(const fleet_result& result)
 {
-    EXPECT_EQ(result.late_tries, 0);
-    EXPECT_EQ(result.sent_after_proof, 0);
+    EXPECT_EQ(result.late_attempts, 0);
+    EXPECT_EQ(result.sent_after_confirmation, 0);
 }
 
-void expect_few_end(int hosts, int servers,
-                    waiting_policy waiting = waiting_policy::hold)
+void expect_few_crashes(int hosts, int servers,
+                        waiting_policy waiting = waiting_policy::hold)
 {
     int innocent = 0;
-    int refused = 0;
+    int rejected = 0;
     for (std::uint32_t seed = 1; seed <= 8; ++seed)
     {
         fleet_plan plan;
@@ -40,170 +40,171 @@
         plan.contents = 40 * plan.servers;
         plan.deadly = 2;
         plan.seconds = 12;
-        const auto result = fleet(plan, seed).play();
+        const auto result = fleet(plan, seed).simulate();
         expect_bounded(result);
         innocent += result.innocent;
-        refused += result.refused_innocent;
+        rejected += result.rejected_innocent;
     }
-    EXPECT_LE(refused, innocent / 10000) << "of " << innocent;
+    EXPECT_LE(rejected, innocent / 10000) << "of " << innocent;
 }
 
 TEST(poison_fleet, few_servers_end_at_8_hosts)
 {
-    expect_few_end(8, 9);
+    expect_few_crashes(8, 9);
 }
 
 TEST(poison_fleet, few_servers_end_at_86_hosts)
 {
-    expect_few_end(86, 90);
+    expect_few_crashes(86, 90);
 }
 
 TEST(poison_fleet, few_servers_end_at_300_hosts)
 {
-    expect_few_end(300, 160);
+    expect_few_crashes(300, 160);
 }
 
 TEST(poison_fleet, few_servers_end_at_580_hosts)
 {
-    expect_few_end(580, 300);
+    expect_few_crashes(580, 300);
 }
 
-// The same fleets with hosts that reject what has to wait: a rejection costs
-// the caller a back-off, so that no wait can hide one.
+// The same fleets with hosts that reject a request instead of holding it: a
+// rejection costs the caller a back-off, and holding could hide rejections.
 TEST(poison_fleet_rejecting, few_servers_end_at_8_hosts)
 {
-    expect_few_end(8, 9, waiting_policy::reject);
+    expect_few_crashes(8, 9, waiting_policy::reject);
 }
 
 TEST(poison_fleet_rejecting, few_servers_end_at_86_hosts)
 {
-    expect_few_end(86, 90, waiting_policy::reject);
+    expect_few_crashes(86, 90, waiting_policy::reject);
 }
 
 TEST(poison_fleet_rejecting, few_servers_end_at_300_hosts)
 {
-    expect_few_end(300, 160, waiting_policy::reject);
+    expect_few_crashes(300, 160, waiting_policy::reject);
 }
 
 TEST(poison_fleet_rejecting, few_servers_end_at_580_hosts)
 {
-    expect_few_end(580, 300, waiting_policy::reject);
+    expect_few_crashes(580, 300, waiting_policy::reject);
 }
 
-TEST(poison_fleet_storms, whoever_was_at_the_ends_of_many_is_not_blamed)
+TEST(poison_fleet_storms, bystanders_of_mass_crashes_are_not_rejected)
 {
     int innocent = 0;
-    int refused = 0;
+    int rejected = 0;
     for (std::uint32_t seed = 1; seed <= 40; ++seed)
     {
         fleet_plan plan;
         plan.deadly = 0;
-        plan.storms = {4, 6.5};
+        plan.mass_crashes = {4, 6.5};
         plan.restarts = {5};
         plan.seconds = 10;
-        const auto result = fleet(plan, seed).play();
+        const auto result = fleet(plan, seed).simulate();
         innocent += result.innocent;
-        refused += result.refused_innocent;
+        rejected += result.rejected_innocent;
     }
-    EXPECT_LE(refused, innocent / 10000) << "of " << innocent;
+    EXPECT_LE(rejected, innocent / 10000) << "of " << innocent;
 }
 
-TEST(poison_fleet_restarts, what_is_proved_outlives_the_hosts)
+TEST(poison_fleet_restarts, confirmed_requests_survive_host_restarts)
 {
     for (std::uint32_t seed = 1; seed <= 10; ++seed)
     {
         fleet_plan plan;
         plan.restarts = {6, 8, 10, 12, 14};
         plan.seconds = 20;
-        expect_bounded(fleet(plan, seed).play());
+        expect_bounded(fleet(plan, seed).simulate());
     }
 }
 
-// Of 1,500 such plays 35 sent a deadly one again after its third end: mostly
-// two at a time on four to six servers, which are beside one another all the
-// time.
-TEST(poison_fleet_found, two_at_a_time_on_few_servers_end_no_more_either)
+// Guards against attempts of a deadly request after its third crash, which 35
+// of 1,500 drawn fleets had: mostly with two deadly requests on four to six
+// servers, where they share most crashes.
+TEST(poison_fleet_found, two_poison_requests_on_few_servers_keep_the_bound)
 {
     for (const std::uint32_t seed : {501, 575, 624, 1152})
     {
-        const auto result = fleet(drawn_plan(seed), seed).play();
-        EXPECT_EQ(result.late_tries, 0) << seed;
-        EXPECT_LE(result.refused_innocent, result.innocent / 10000) << seed;
+        const auto result = fleet(drawn_plan(seed), seed).simulate();
+        EXPECT_EQ(result.late_attempts, 0) << seed;
+        EXPECT_LE(result.rejected_innocent, result.innocent / 10000) << seed;
     }
 }
 
-void expect_few_end_in_drawn_fleets(waiting_policy waiting)
+void expect_few_crashes_in_drawn_fleets(waiting_policy waiting)
 {
     int innocent = 0;
-    int refused = 0;
+    int rejected = 0;
     for (std::uint32_t seed = 1; seed <= 100; ++seed)
     {
         auto plan = drawn_plan(seed);
         plan.waiting = waiting;
-        const auto result = fleet(plan, seed).play();
-        EXPECT_EQ(result.late_tries, 0) << seed;
+        const auto result = fleet(plan, seed).simulate();
+        EXPECT_EQ(result.late_attempts, 0) << seed;
         innocent += result.innocent;
-        refused += result.refused_innocent;
+        rejected += result.rejected_innocent;
     }
-    EXPECT_LE(refused, innocent / 10000) << "of " << innocent;
+    EXPECT_LE(rejected, innocent / 10000) << "of " << innocent;
 }
 
 TEST(poison_fleet_drawn, few_servers_end_in_drawn_fleets)
 {
-    expect_few_end_in_drawn_fleets(waiting_policy::hold);
+    expect_few_crashes_in_drawn_fleets(waiting_policy::hold);
 }
 
 TEST(poison_fleet_drawn_rejecting, few_servers_end_in_drawn_fleets)
 {
-    expect_few_end_in_drawn_fleets(waiting_policy::reject);
+    expect_few_crashes_in_drawn_fleets(waiting_policy::reject);
 }
 
-RC_GTEST_PROP(poison_watch_merge, words_in_any_order_give_the_same, ())
+RC_GTEST_PROP(poison_detector_merge, records_merge_in_any_order, ())
 {
-    std::vector<poison_record> words;
+    std::vector<poison_record> records;
     const auto count = *rc::gen::inRange(1, 12);
-    for (int word = 0; word < count; ++word)
+    for (int item = 0; item < count; ++item)
     {
         poison_record record;
-        record.print = request_print("a");
+        record.fingerprint = request_fingerprint("a");
         record.epoch = *rc::gen::inRange(0, 3);
-        const auto life = *rc::gen::inRange(0, 5);
-        const server_life server{upstream_id("s" + std::to_string(life)), {}};
+        const auto server = *rc::gen::inRange(0, 5);
+        const server_incarnation incarnation{
+            upstream_id("s" + std::to_string(server)), {}};
         if (*rc::gen::arbitrary<bool>())
         {
-            record.ends[server] = {at(life), absl::Seconds(1)};
+            record.crashes[incarnation] = {at(server), absl::Seconds(1)};
         }
         else
         {
-            record.whole.insert({server, host_id("h")});
+            record.responses.insert({incarnation, host_id("h")});
         }
-        record.is_proved = *rc::gen::inRange(0, 4) == 0;
-        record.trial = {*rc::gen::inRange<std::int64_t>(0, 3),
-                        host_id("h" + std::to_string(life)), at(9)};
-        words.push_back(record);
+        record.is_confirmed = *rc::gen::inRange(0, 4) == 0;
+        record.probe = {*rc::gen::inRange<std::int64_t>(0, 3),
+                        host_id("h" + std::to_string(server)), at(9)};
+        records.push_back(record);
     }
-    auto shuffled = words;
+    auto shuffled = records;
     std::shuffle(shuffled.begin(), shuffled.end(),
                  std::mt19937(*rc::gen::arbitrary<std::uint32_t>()));
-    shuffled.insert(shuffled.end(), words.begin(), words.end());
-    poison_watch first{poison_options()};
-    poison_watch second{poison_options()};
-    for (const auto& word : words)
+    shuffled.insert(shuffled.end(), records.begin(), records.end());
+    poison_detector first{poison_options()};
+    poison_detector second{poison_options()};
+    for (const auto& received : records)
     {
-        first.merge(word, at(10));
+        first.merge(received, at(10));
     }
-    for (const auto& word : shuffled)
+    for (const auto& received : shuffled)
     {
-        second.merge(word, at(10));
+        second.merge(received, at(10));
     }
-    const auto& one = *first.find(request_print("a"));
-    const auto& other = *second.find(request_print("a"));
+    const auto& one = *first.find(request_fingerprint("a"));
+    const auto& other = *second.find(request_fingerprint("a"));
     RC_ASSERT(one.epoch == other.epoch);
-    RC_ASSERT(one.whole == other.whole);
-    RC_ASSERT(one.is_proved == other.is_proved);
-    RC_ASSERT(one.ends.size() == other.ends.size());
-    RC_ASSERT(one.trial.number == other.trial.number);
-    RC_ASSERT(one.trial.host == other.trial.host);
+    RC_ASSERT(one.responses == other.responses);
+    RC_ASSERT(one.is_confirmed == other.is_confirmed);
+    RC_ASSERT(one.crashes.size() == other.crashes.size());
+    RC_ASSERT(one.probe.number == other.probe.number);
+    RC_ASSERT(one.probe.host == other.probe.host);
 }
 
 } // namespace
