--- a/benchmarks/limit_benchmark.cpp
+++ b/benchmarks/limit_benchmark.cpp
@@ -16,7 +16,7 @@
     return absl::UnixEpoch() + absl::Hours(1) + absl::Seconds(seconds);
 }
 
-upstream_life upstream(int number)
+upstream_incarnation upstream(int number)
 {
     return {upstream_id("i-" + std::to_string(1000000 + number)),
             upstream_birth(1)};
--- a/libraries/ingress/decision_policy.hpp
+++ b/libraries/ingress/decision_policy.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Mechanisms of decision that operators can set or switch off.
+/// Routing and scaling mechanisms that operators can tune or switch off.
 #pragma once
 
 #include <cstdint>
@@ -7,34 +7,42 @@
 namespace daleshelf
 {
 
-/// Values of the settings' section `policy`; docs/SETTINGS.md lists them. The
-/// defaults are what measures best.
+/// Values of the settings section `policy`; docs/SETTINGS.md lists them.
+/// Members carry the names of their settings, except `retries_failures`, which
+/// is set by `policy.retries`.
 struct decision_policy
 {
-    // Choice of a server.
-    bool routes_by_prompt = true;     ///< where parts of the prompt were read
-    bool counts_peers = true;         ///< what peers have in flight
-    bool passes_over_suspects = true; ///< servers that have failed lately
-    bool avoids_halls = true;         ///< where an attempt of a request broke
+    // Choice of an upstream.
+    bool routes_by_prompt = true;     ///< prefers a cached prompt prefix
+    bool counts_peers = true;         ///< adds the in-flight load of peers
+    bool passes_over_suspects = true; ///< avoids upstreams with recent failures
+    bool avoids_halls = true; ///< in which an attempt of the request broke
     bool prefers_own_hall = true;
 
     // After a failure.
-    bool retries_failures = true; ///< at another server
-    bool resumes_streams = true;  ///< that have begun
+    bool retries_failures = true; ///< at another upstream
+    bool resumes_streams = true;  ///< continues broken streams elsewhere
 
-    /// Earliest return of a request beyond its workspace's quota, in ms.
+    /// Minimum retry delay for a request that exceeds its workspace's quota, in
+    /// ms.
     std::int64_t quota_retry_ms = 500;
 
-    /// Refuse at once what is expected to begin after its deadline.
+    /// Rejects at once requests whose first event is expected after their
+    /// deadline.
     bool refuses_hopeless = true;
 
-    // Engines and their number.
-    bool learns_engines = true; ///< otherwise the priors stay
-    bool orders_servers = true;
-    double late_part = 0.005; ///< of prompts, that may miss by waiting
+    // Speed estimates of engines, and scaling.
+    bool learns_engines = true; ///< otherwise uses the priors only
+    bool orders_servers = true; ///< scales services with their load
+    /// Fraction of prompts that may miss their objective because of queueing.
+    double late_part = 0.005;
+    /// Minimum number of on-demand upstreams of a service.
     std::int64_t least_on_demand = 2;
-    std::int64_t spare_halls = 2; ///< whose spot servers may all be taken away
-    double dry_part = 0.5; ///< of the usual need, bought on demand without spot
+    /// Halls that may lose all their spot upstreams at once.
+    std::int64_t spare_halls = 2;
+    /// Fraction of the way from the minimum to the usual need that is bought on
+    /// demand while no spot upstreams are available.
+    double dry_part = 0.5;
 };
 
 } // namespace daleshelf
--- a/libraries/ingress/event_splitter.cpp
+++ b/libraries/ingress/event_splitter.cpp
@@ -11,24 +11,24 @@
 
 struct blank_line
 {
-    std::size_t at = std::string_view::npos;
+    std::size_t position = std::string_view::npos;
     std::size_t size = 0;
 };
 
 blank_line find_blank_line(std::string_view text, std::size_t from)
 {
-    const auto plain = text.find("\n\n", from);
-    const auto with_returns = text.find("\r\n\r\n", from);
-    if (plain == std::string_view::npos &&
-        with_returns == std::string_view::npos)
+    const auto with_lf = text.find("\n\n", from);
+    const auto with_crlf = text.find("\r\n\r\n", from);
+    if (with_lf == std::string_view::npos &&
+        with_crlf == std::string_view::npos)
     {
         return {};
     }
-    if (plain < with_returns)
+    if (with_lf < with_crlf)
     {
-        return {plain, 2};
+        return {with_lf, 2};
     }
-    return {with_returns, 4};
+    return {with_crlf, 4};
 }
 
 std::optional<std::int64_t> find_id(std::string_view event)
@@ -58,28 +58,28 @@
 {
     if (m_start > 0)
     {
-        m_held.erase(0, m_start);
+        m_buffer.erase(0, m_start);
         m_scanned -= m_start;
         m_start = 0;
     }
-    m_held.append(bytes);
+    m_buffer.append(bytes);
 }
 
 std::optional<stream_event> event_splitter::next()
 {
-    constexpr std::size_t longest_blank_line = 4;
-    const auto blank = find_blank_line(m_held, std::max(m_start, m_scanned));
-    if (blank.at == std::string_view::npos)
+    constexpr std::size_t max_blank_line_size = 4;
+    const auto blank = find_blank_line(m_buffer, std::max(m_start, m_scanned));
+    if (blank.position == std::string_view::npos)
     {
-        // The blank line may have begun at the end of what is held.
-        const auto overlap = longest_blank_line - 1;
+        // The buffer may end with the first bytes of a blank line.
+        const auto overlap = max_blank_line_size - 1;
         m_scanned = std::max(
-            m_start, m_held.size() > overlap ? m_held.size() - overlap : 0);
+            m_start, m_buffer.size() > overlap ? m_buffer.size() - overlap : 0);
         return std::nullopt;
     }
-    const auto end = blank.at + blank.size;
+    const auto end = blank.position + blank.size;
     stream_event event;
-    event.bytes = m_held.substr(m_start, end - m_start);
+    event.bytes = m_buffer.substr(m_start, end - m_start);
     event.id = find_id(event.bytes);
     m_start = end;
     m_scanned = end;
--- a/libraries/ingress/event_splitter.hpp
+++ b/libraries/ingress/event_splitter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Cuts a stream of bytes into whole events.
+/// Splits a byte stream into complete server-sent events.
 #pragma once
 
 #include <cstdint>
@@ -10,34 +10,36 @@
 namespace daleshelf
 {
 
-/// One whole event of a `text/event-stream`, with its closing blank line.
+/// One complete event of a `text/event-stream`, with the blank line that ends
+/// it.
 struct stream_event
 {
     std::string bytes;
-    std::optional<std::int64_t> id;
+    std::optional<std::int64_t> id; ///< nothing without a numeric id
 };
 
-/// Takes bytes as they come and gives whole events only, so that a server
-/// that stops partway through an event never shows at the client.
+/// Buffers the bytes of a stream and returns complete events only, so that a
+/// client never receives a partial event when an upstream fails in the middle
+/// of one.
 class event_splitter
 {
 public:
     /// @param bytes the next bytes of the stream
     void add(std::string_view bytes);
 
-    /// @return the next whole event, if there is one
+    /// @return the next complete event; nothing until more bytes arrive
     [[nodiscard]] std::optional<stream_event> next();
 
-    /// @return whether bytes of an unfinished event are held
+    /// @return whether bytes of an incomplete event are buffered
     [[nodiscard]] bool has_partial() const
     {
-        return m_held.size() > m_start;
+        return m_buffer.size() > m_start;
     }
 
 private:
-    std::string m_held;
-    std::size_t m_start = 0;   ///< where the next event begins
-    std::size_t m_scanned = 0; ///< no event ends before this
+    std::string m_buffer;
+    std::size_t m_start = 0;   ///< offset of the next event
+    std::size_t m_scanned = 0; ///< no blank line begins before this offset
 };
 
 } // namespace daleshelf
--- a/libraries/ingress/forward.hpp
+++ b/libraries/ingress/forward.hpp
@@ -6,8 +6,8 @@
 {
 
 class event_splitter;
-class prompt_memory;
-class retry_allowance;
+class prefix_cache_estimate;
+class retry_budget_share;
 class route_table;
 class server_choice;
 class server_directory;
@@ -19,6 +19,6 @@
 struct request_facts;
 struct server_entry;
 struct tenant_limit;
-struct upstream_life;
+struct upstream_incarnation;
 
 } // namespace daleshelf
--- a/libraries/ingress/prompt_memory.cpp
+++ b/libraries/ingress/prefix_cache_estimate.cpp
@@ -1,12 +1,15 @@
-#include "prompt_memory.hpp"
+#include "prefix_cache_estimate.hpp"
 
 namespace daleshelf
 {
 
-prompt_memory::prompt_memory(std::int64_t capacity) : m_capacity(capacity) {}
+prefix_cache_estimate::prefix_cache_estimate(std::int64_t capacity)
+    : m_capacity_tokens(capacity)
+{
+}
 
-std::int64_t
-prompt_memory::cached_tokens(const std::vector<prompt_part>& prompt) const
+std::int64_t prefix_cache_estimate::cached_tokens(
+    const std::vector<prompt_part>& prompt) const
 {
     std::int64_t tokens = 0;
     for (const auto& part : prompt)
@@ -20,7 +23,7 @@
     return tokens;
 }
 
-void prompt_memory::note(const std::vector<prompt_part>& prompt)
+void prefix_cache_estimate::add_prompt(const std::vector<prompt_part>& prompt)
 {
     for (const auto& part : prompt)
     {
@@ -32,11 +35,11 @@
         }
         m_parts.push_front({part.id, part.tokens});
         m_by_id[part.id] = m_parts.begin();
-        m_used += part.tokens;
+        m_used_tokens += part.tokens;
     }
-    while (m_used > m_capacity && !m_parts.empty())
+    while (m_used_tokens > m_capacity_tokens && !m_parts.empty())
     {
-        m_used -= m_parts.back().tokens;
+        m_used_tokens -= m_parts.back().tokens;
         m_by_id.erase(m_parts.back().id);
         m_parts.pop_back();
     }
--- a/libraries/ingress/request_facts.hpp
+++ b/libraries/ingress/request_facts.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a client says of its request, free of the names that it says it by.
+/// What a client states about its request, independent of header names.
 #pragma once
 
 #include <base/identifiers.hpp>
@@ -12,24 +12,24 @@
 namespace daleshelf
 {
 
-/// One part of a prompt; requests share parts.
+/// One part of a prompt. Requests that share a prefix share its leading parts.
 struct prompt_part
 {
-    std::string id;
+    std::string id; ///< equal for equal parts
     std::int64_t tokens = 0;
 };
 
-/// The facts of one request that decide how it is served.
+/// Attributes of one request that determine how it is served.
 struct request_facts
 {
     request_id id;
     std::optional<std::chrono::milliseconds> deadline;
-    std::string key;
+    std::string key; ///< API key of the workspace
     std::string model;
     std::int64_t prompt_tokens = 0;
-    std::int64_t answer_tokens = 0; ///< the most that is generated
+    std::int64_t max_output_tokens = 0; ///< 0: not stated
     std::vector<prompt_part> prompt;
-    std::optional<std::int64_t> last_event;
+    std::optional<std::int64_t> last_event; ///< id after which to resume
 };
 
 } // namespace daleshelf
--- a/libraries/ingress/route_table.cpp
+++ b/libraries/ingress/route_table.cpp
@@ -87,11 +87,12 @@
     {
         total += target.weight;
     }
-    auto left = static_cast<std::int64_t>(draw * static_cast<double>(total));
+    auto remaining =
+        static_cast<std::int64_t>(draw * static_cast<double>(total));
     for (const auto& target : route.targets)
     {
-        left -= target.weight;
-        if (left < 0)
+        remaining -= target.weight;
+        if (remaining < 0)
         {
             return target.service;
         }
--- a/libraries/ingress/route_table.hpp
+++ b/libraries/ingress/route_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds the route and the tenant of a request.
+/// Looks up the route and the workspace of a request.
 #pragma once
 
 #include "ingress_configuration.hpp"
@@ -13,8 +13,8 @@
 namespace daleshelf
 {
 
-/// One configuration, indexed. It never changes, so requests keep the one that
-/// they began with.
+/// Indexes one version of the configuration. It is immutable, so a request uses
+/// one version from start to end.
 class route_table
 {
 public:
@@ -27,20 +27,21 @@
     }
 
     /// @param host value of the Host header, with or without a port
-    /// @param target path and query
-    /// @return the route with the longest prefix, or null
+    /// @param target path and query of the request
+    /// @return the host's route with the longest matching prefix, or null
     [[nodiscard]] const ingress_route*
     find_route(std::string_view host, std::string_view target) const;
 
-    /// @return the tenant that holds the key, or null
+    /// @return the workspace that the key belongs to, or null
     [[nodiscard]] const ingress_tenant* find_tenant(std::string_view key) const;
 
-    /// @return the service, or null
+    /// @return the service of that name, or null
     [[nodiscard]] const ingress_service*
     find_service(const service_name& name) const;
 
-    /// Picks a target of the route by weight.
-    /// @param draw an even random number in [0, 1)
+    /// Selects a target of the route at random, by weight.
+    /// @param draw uniform random number in [0, 1)
+    /// @return the target's service
     [[nodiscard]] static const service_name&
     pick_target(const ingress_route& route, double draw);
 
--- a/libraries/ingress/server_choice.cpp
+++ b/libraries/ingress/server_choice.cpp
@@ -11,35 +11,38 @@
 namespace
 {
 
-// Weights of the cost, in milliseconds of a server's time.
-// A running generation counts as much as reading so many tokens: each step of
-// the engine carries its context and its token beside what is read.
+// Weights of the cost function, in milliseconds of an upstream's time.
+// A running generation costs as much as prefill of this many tokens: each step
+// of the engine processes its token and its context besides the prefill.
 constexpr double tokens_per_generation = 20;
-// The work of a plain call at today's users: 15 to 60 ms.
+// Plain calls of present users take 15 to 60 ms of work.
 constexpr double ms_per_active_call = 15;
-// A round trip between halls of one region takes 1 to 3 ms; bytes between them
-// cost besides.
+// A round trip between halls of one region takes 1 to 3 ms, and traffic between
+// halls costs extra.
 constexpr double ms_for_other_hall = 1;
-// A server that has just started is preferred to none, and to one with more
-// than three calls waiting.
+// An upstream in its cold start is used if there is no other, and in preference
+// to one with more than three waiting calls.
 constexpr double ms_for_cold_start = 50;
-// Above what waits at any server that answers in time, below a suspect one: the
-// other servers of a cut hall are tried before those that failed themselves.
+// Above the queue of any upstream that responds in time, and below the cost of
+// an unhealthy one: the other upstreams of a hall that is cut off are tried
+// before those that failed themselves.
 constexpr double ms_for_avoided_hall = 3000;
-constexpr double ms_while_suspect = 100000;
-// A request under which a server has ended: what runs beside it would be broken
-// off as well, which costs each about a second; beside another one of its kind
-// it could not be told from that.
-constexpr double ms_per_neighbour = 1000;
-constexpr double ms_beside_suspect = 50000;
-// Hosts that know the same do not all choose the same among equals.
+constexpr double ms_while_unhealthy = 100000;
+// Costs of a suspect request, during which an upstream has crashed. If it
+// causes another crash, every request that runs beside it breaks and loses
+// about a second. Beside another suspect request, the crash could not be
+// attributed to one of the two.
+constexpr double ms_per_concurrent_request = 1000;
+constexpr double ms_beside_suspect_request = 50000;
+// Keeps hosts with the same knowledge from all selecting the same one of
+// several equal upstreams.
 constexpr double ms_of_jitter = 0.5;
 
-// After a failure a server is passed over for twice as long each time: from
-// about the time in which a restart of a connection shows, to the boot time of
-// a server.
-constexpr absl::Duration first_pause = absl::Milliseconds(400);
-constexpr absl::Duration longest_pause = absl::Seconds(4);
+// An upstream counts as unhealthy for a time that doubles with each consecutive
+// failure: from about the time in which a reconnect becomes visible, up to the
+// boot time of an upstream.
+constexpr absl::Duration base_unhealthy_time = absl::Milliseconds(400);
+constexpr absl::Duration max_unhealthy_time = absl::Seconds(4);
 
 std::uint64_t rendezvous_weight(const upstream_id& server,
                                 const std::string& key)
@@ -58,8 +61,9 @@
     return tokens;
 }
 
-// The last part belongs to the request or its session alone.
-const std::string& sharing_key(const std::vector<prompt_part>& prompt)
+// Returns the id of the last part that other requests may share: the very last
+// part belongs to the request or its session alone.
+const std::string& shared_prefix_key(const std::vector<prompt_part>& prompt)
 {
     return prompt.size() > 1 ? prompt[prompt.size() - 2].id : prompt.back().id;
 }
@@ -80,17 +84,17 @@
 const server_entry* server_choice::choose(const choice_request& request,
                                           absl::Time now)
 {
-    const auto home = home_of(request);
+    const auto preferred = rendezvous_server(request);
     const server_entry* best = nullptr;
     auto best_cost = std::numeric_limits<double>::infinity();
     for (const auto* server : candidates(request))
     {
         if (request.excluded.contains(server->id) ||
-            now < rest_end(server->id) || is_passed_over(server->id, now))
+            now < back_off_end(server->id) || is_passed_over(server->id, now))
         {
             continue;
         }
-        const auto cost = cost_of(*server, request, home, now);
+        const auto cost = cost_of(*server, request, preferred, now);
         if (cost < best_cost)
         {
             best = server;
@@ -103,83 +107,86 @@
 std::vector<const server_entry*>
 server_choice::candidates(const choice_request& request) const
 {
-    if (!request.trial)
+    if (!request.canary)
     {
         return m_directory.usable(request.service);
     }
-    return m_directory.trial_servers(request.service, request.trial->version,
-                                     request.trial->share);
+    return m_directory.canary_servers(request.service, request.canary->version,
+                                      request.canary->share);
 }
 
 double server_choice::expected_first_ms(const server_entry& server,
                                         const choice_request& request) const
 {
-    const auto work = expect(server.id, request, home_of(request));
+    const auto work =
+        estimate_work(server.id, request, rendezvous_server(request));
     const auto& engine = request.engine;
     const auto slots = static_cast<double>(std::max(1, server.slots));
-    // 1. With all places taken, one is free each time that an answer ends.
-    const auto before =
+    // 1. While all slots are busy, one becomes free whenever a response ends.
+    const auto requests_before =
         std::max(0.0, static_cast<double>(work.running) + 1 - slots);
-    const auto for_place_ms = before * engine.answer_ms / slots;
-    // 2. What is read meanwhile is no longer ahead then.
+    const auto slot_wait_ms = requests_before * engine.answer_ms / slots;
+    // 2. Prefill of other prompts proceeds during that wait.
     const auto tokens_ahead =
         work.ahead_tokens + work.peers_ahead_tokens * engine.peers_part;
-    const auto for_others_ms =
-        std::max(for_place_ms, tokens_ahead * engine.read_ms_per_token);
-    return for_others_ms +
-           engine.first_event_ms(static_cast<double>(work.tokens));
+    const auto queue_wait_ms =
+        std::max(slot_wait_ms, tokens_ahead * engine.read_ms_per_token);
+    return queue_wait_ms +
+           engine.first_event_ms(static_cast<double>(work.expected_tokens));
 }
 
-expected_work server_choice::start(const upstream_life& server,
-                                   const choice_request& request,
-                                   std::int64_t cache_tokens)
+expected_work server_choice::begin_attempt(const upstream_incarnation& server,
+                                           const choice_request& request,
+                                           std::int64_t cache_tokens)
 {
-    const auto work = expect(server.id, request, home_of(request));
-    if (is_over(server))
+    const auto work =
+        estimate_work(server.id, request, rendezvous_server(request));
+    if (is_superseded(server))
     {
         return work;
     }
-    m_prompts.try_emplace(server.id, prompt_memory(cache_tokens))
-        .first->second.note(request.facts->prompt);
-    auto& load = m_own[server.id];
+    m_prefix_caches.try_emplace(server.id, prefix_cache_estimate(cache_tokens))
+        .first->second.add_prompt(request.facts->prompt);
+    auto& load = m_own_loads[server.id];
     load.active += 1;
-    load.unread_tokens += work.tokens;
+    load.unread_tokens += work.expected_tokens;
     return work;
 }
 
-void server_choice::prompt_read(const upstream_life& server,
+void server_choice::end_prefill(const upstream_incarnation& server,
                                 std::int64_t tokens)
 {
-    if (!is_over(server))
+    if (!is_superseded(server))
     {
-        m_own[server.id].unread_tokens -= tokens;
+        m_own_loads[server.id].unread_tokens -= tokens;
     }
 }
 
-void server_choice::end(const upstream_life& server)
+void server_choice::end_attempt(const upstream_incarnation& server)
 {
-    if (!is_over(server))
+    if (!is_superseded(server))
     {
-        m_own[server.id].active -= 1;
+        m_own_loads[server.id].active -= 1;
     }
 }
 
-void server_choice::note_rest(const upstream_life& server, absl::Time until,
-                              absl::Time now)
+void server_choice::set_back_off(const upstream_incarnation& server,
+                                 absl::Time until, absl::Time now)
 {
-    if (is_over(server))
+    if (is_superseded(server))
     {
         return;
     }
-    absl::erase_if(m_rests,
-                   [now](const auto& rest) { return rest.second <= now; });
-    const auto end = std::max(rest_end(server.id), until);
-    m_rests[server.id] = end;
+    absl::erase_if(m_back_off_ends, [now](const auto& back_off)
+                   { return back_off.second <= now; });
+    const auto end = std::max(back_off_end(server.id), until);
+    m_back_off_ends[server.id] = end;
 }
 
-void server_choice::pass_over(const upstream_life& server, absl::Time until)
+void server_choice::pass_over(const upstream_incarnation& server,
+                              absl::Time until)
 {
-    if (!is_over(server))
+    if (!is_superseded(server))
     {
         m_passed_over[server.id] = until;
     }
@@ -206,19 +213,21 @@
     return found != m_passed_over.end() && now < found->second;
 }
 
-absl::Time server_choice::rest_end(const upstream_id& server) const
+absl::Time server_choice::back_off_end(const upstream_id& server) const
 {
-    const auto rest = m_rests.find(server);
-    return rest == m_rests.end() ? absl::InfinitePast() : rest->second;
+    const auto back_off = m_back_off_ends.find(server);
+    return back_off == m_back_off_ends.end() ? absl::InfinitePast()
+                                             : back_off->second;
 }
 
 std::optional<absl::Time>
-server_choice::all_rest_until(const service_name& service, absl::Time now) const
+server_choice::earliest_back_off_end(const service_name& service,
+                                     absl::Time now) const
 {
     std::optional<absl::Time> first;
     for (const auto* server : m_directory.usable(service))
     {
-        const auto end = rest_end(server->id);
+        const auto end = back_off_end(server->id);
         if (end <= now)
         {
             return std::nullopt;
@@ -228,86 +237,89 @@
     return first;
 }
 
-void server_choice::forget(const upstream_id& server)
+void server_choice::reset_server(const upstream_id& server)
 {
-    m_own.erase(server);
-    m_rests.erase(server);
+    m_own_loads.erase(server);
+    m_back_off_ends.erase(server);
     m_passed_over.erase(server);
     m_health.erase(server);
-    m_prompts.erase(server);
+    m_prefix_caches.erase(server);
 }
 
-// Requests sent to an earlier life end later: they are no work of this one.
-bool server_choice::is_over(const upstream_life& server) const
+// Whether a later incarnation is listed. Attempts at an earlier incarnation may
+// end after the restart, and are no load of the later one.
+bool server_choice::is_superseded(const upstream_incarnation& server) const
 {
     const auto* listed = m_directory.find(server.id);
-    return listed != nullptr && listed->life().is_after(server);
+    return listed != nullptr && listed->incarnation().is_newer_than(server);
 }
 
-void server_choice::report(const upstream_life& server, attempt_outcome outcome,
-                           absl::Time now)
+void server_choice::record_outcome(const upstream_incarnation& server,
+                                   attempt_outcome outcome, absl::Time now)
 {
-    if (is_over(server))
+    if (is_superseded(server))
     {
         return;
     }
     auto& known = m_health[server.id];
-    if (outcome == attempt_outcome::answered)
+    if (outcome == attempt_outcome::succeeded)
     {
         known = {};
         return;
     }
-    if (outcome == attempt_outcome::refused)
+    if (outcome == attempt_outcome::rejected)
     {
-        known.suspect_until =
-            std::max(known.suspect_until, now + first_pause / 4);
+        known.unhealthy_until =
+            std::max(known.unhealthy_until, now + base_unhealthy_time / 4);
         return;
     }
-    known.failures += 1;
-    // One failed request says little: services fail some by themselves.
+    known.consecutive_failures += 1;
+    // A single failed request is weak evidence: services fail some requests
+    // while they are healthy.
     constexpr int tolerated_failures = 3;
     if (outcome == attempt_outcome::failed &&
-        known.failures < tolerated_failures)
+        known.consecutive_failures < tolerated_failures)
     {
         return;
     }
-    const auto pause = std::min(
-        longest_pause, first_pause * (1 << std::min(known.failures, 4)));
-    known.suspect_until = now + pause;
+    const auto unhealthy_time = std::min(
+        max_unhealthy_time,
+        base_unhealthy_time * (1 << std::min(known.consecutive_failures, 4)));
+    known.unhealthy_until = now + unhealthy_time;
 }
 
 void server_choice::set_peer_load(
     const host_id& peer, absl::flat_hash_map<upstream_id, server_load> loads)
 {
-    auto& known = m_peers[peer];
-    add_to_peers(known, -1);
+    auto& known = m_peer_loads[peer];
+    add_to_peer_sums(known, -1);
     known = std::move(loads);
-    add_to_peers(known, 1);
+    add_to_peer_sums(known, 1);
 }
 
 void server_choice::drop_peer(const host_id& peer)
 {
-    const auto known = m_peers.find(peer);
-    if (known != m_peers.end())
+    const auto known = m_peer_loads.find(peer);
+    if (known != m_peer_loads.end())
     {
-        add_to_peers(known->second, -1);
-        m_peers.erase(known);
+        add_to_peer_sums(known->second, -1);
+        m_peer_loads.erase(known);
     }
 }
 
-// Keeps the sum over all peers: there are many, and it is asked for each
-// server at each choice.
-void server_choice::add_to_peers(
+// Maintains the sums over all peers, since there are many peers and each
+// selection needs the sum for every candidate.
+void server_choice::add_to_peer_sums(
     const absl::flat_hash_map<upstream_id, server_load>& loads, int sign)
 {
     for (const auto& [server, load] : loads)
     {
-        auto& sum = m_peers_sum[server];
+        auto& sum = m_peer_load_sums[server];
         sum.active += sign * load.active;
         sum.unread_tokens += sign * load.unread_tokens;
         if (sum.active == 0 && sum.unread_tokens == 0)
         {
-            m_peers_sum.erase(server);
+            m_peer_load_sums.erase(server);
         }
     }
 }
@@ -317,9 +329,9 @@
     const auto is_unlisted = [this](const auto& entry)
     { return m_directory.find(entry.first) == nullptr; };
     absl::erase_if(m_health, is_unlisted);
-    absl::erase_if(m_prompts, is_unlisted);
+    absl::erase_if(m_prefix_caches, is_unlisted);
     absl::erase_if(m_passed_over, is_unlisted);
-    absl::erase_if(m_own, [&](const auto& entry)
+    absl::erase_if(m_own_loads, [&](const auto& entry)
                    { return entry.second.active == 0 && is_unlisted(entry); });
 }
 
@@ -332,23 +344,24 @@
 
 server_load server_choice::own_load(const upstream_id& server) const
 {
-    const auto found = m_own.find(server);
-    return found == m_own.end() ? server_load{} : found->second;
+    const auto found = m_own_loads.find(server);
+    return found == m_own_loads.end() ? server_load{} : found->second;
 }
 
 server_load server_choice::peers_load(const upstream_id& server) const
 {
-    const auto found = m_peers_sum.find(server);
-    return found == m_peers_sum.end() || !m_policy.counts_peers ? server_load{}
-                                                                : found->second;
+    const auto found = m_peer_load_sums.find(server);
+    return found == m_peer_load_sums.end() || !m_policy.counts_peers
+               ? server_load{}
+               : found->second;
 }
 
 double server_choice::cost_of(const server_entry& server,
                               const choice_request& request,
-                              const upstream_id& home, absl::Time now)
+                              const upstream_id& preferred, absl::Time now)
 {
     auto cost = absl::Uniform(m_random, 0.0, ms_of_jitter);
-    cost += request.is_engine ? engine_cost(server, request, home)
+    cost += request.is_engine ? engine_cost(server, request, preferred)
                               : call_cost(server);
     if (server.hall != m_own_hall && m_policy.prefers_own_hall)
     {
@@ -365,29 +378,31 @@
     if (request.is_suspect)
     {
         cost += static_cast<double>(total_load(server.id).active) *
-                ms_per_neighbour;
-        cost +=
-            request.suspected_at.contains(server.id) ? ms_beside_suspect : 0;
+                ms_per_concurrent_request;
+        cost += request.suspected_at.contains(server.id)
+                    ? ms_beside_suspect_request
+                    : 0;
     }
     const auto known = m_health.find(server.id);
     if (m_policy.passes_over_suspects && known != m_health.end() &&
-        now < known->second.suspect_until)
+        now < known->second.unhealthy_until)
     {
-        cost += ms_while_suspect;
+        cost += ms_while_unhealthy;
     }
     return cost;
 }
 
-// The time until the request's prompt is read, and what it holds others up.
+// The time until the request's prompt is prefilled, and the delay that this
+// causes for running generations.
 double server_choice::engine_cost(const server_entry& server,
                                   const choice_request& request,
-                                  const upstream_id& home) const
+                                  const upstream_id& preferred) const
 {
-    const auto work = expect(server.id, request, home);
+    const auto work = estimate_work(server.id, request, preferred);
     const auto tokens =
         work.ahead_tokens +
         work.peers_ahead_tokens * request.engine.peers_part +
-        static_cast<double>(work.tokens) +
+        static_cast<double>(work.expected_tokens) +
         static_cast<double>(work.running) * tokens_per_generation;
     return tokens * request.engine.read_ms_per_token;
 }
@@ -399,9 +414,9 @@
     return static_cast<double>(active) / slots * ms_per_active_call;
 }
 
-expected_work server_choice::expect(const upstream_id& server,
-                                    const choice_request& request,
-                                    const upstream_id& home) const
+expected_work server_choice::estimate_work(const upstream_id& server,
+                                           const choice_request& request,
+                                           const upstream_id& preferred) const
 {
     expected_work work;
     const auto own = own_load(server);
@@ -415,44 +430,47 @@
         return work;
     }
     auto unread = total_tokens(prompt);
-    const auto memory = m_prompts.find(server);
-    if (memory != m_prompts.end() && m_policy.routes_by_prompt)
+    const auto cache = m_prefix_caches.find(server);
+    if (cache != m_prefix_caches.end() && m_policy.routes_by_prompt)
     {
-        unread -= memory->second.cached_tokens(prompt);
+        unread -= cache->second.cached_tokens(prompt);
     }
-    const auto own_part = std::min(unread, prompt.back().tokens);
-    const auto shared = static_cast<double>(unread - own_part);
-    work.certain_tokens = static_cast<double>(own_part);
-    auto& kind = server == home ? work.doubtful_tokens : work.certain_tokens;
-    kind += shared;
-    work.tokens = static_cast<std::int64_t>(work.certain_tokens +
-                                            work.doubtful_tokens *
-                                                request.engine.doubtful_part);
+    const auto own_tokens = std::min(unread, prompt.back().tokens);
+    const auto shared_tokens = static_cast<double>(unread - own_tokens);
+    work.certain_tokens = static_cast<double>(own_tokens);
+    auto& shared_part =
+        server == preferred ? work.doubtful_tokens : work.certain_tokens;
+    shared_part += shared_tokens;
+    work.expected_tokens = static_cast<std::int64_t>(
+        work.certain_tokens +
+        work.doubtful_tokens * request.engine.doubtful_part);
     return work;
 }
 
-// Of prompts that this host has not sent lately, a rendezvous hash of the part
-// that others share tells every host the same server.
-upstream_id server_choice::home_of(const choice_request& request) const
+// Returns the upstream that all hosts prefer for the prompt: the one with the
+// highest rendezvous hash of the part that other requests share. Returns an
+// empty id if the request is not routed by its prompt.
+upstream_id
+server_choice::rendezvous_server(const choice_request& request) const
 {
     if (!request.is_engine || request.facts->prompt.empty() ||
         !m_policy.routes_by_prompt)
     {
         return {};
     }
-    const auto& key = sharing_key(request.facts->prompt);
-    upstream_id home;
+    const auto& key = shared_prefix_key(request.facts->prompt);
+    upstream_id preferred;
     std::uint64_t best = 0;
     for (const auto* server : candidates(request))
     {
         const auto weight = rendezvous_weight(server->id, key);
-        if (home.value().empty() || weight > best)
+        if (preferred.value().empty() || weight > best)
         {
-            home = server->id;
+            preferred = server->id;
             best = weight;
         }
     }
-    return home;
+    return preferred;
 }
 
 } // namespace daleshelf
--- a/libraries/ingress/server_choice.hpp
+++ b/libraries/ingress/server_choice.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// Which server gets a request.
+/// Selects the upstream for a request.
 #pragma once
 
 #include "decision_policy.hpp"
 #include "ingress_configuration.hpp"
-#include "prompt_memory.hpp"
+#include "prefix_cache_estimate.hpp"
 #include "request_facts.hpp"
 #include "server_directory.hpp"
 
@@ -20,173 +20,186 @@
 namespace daleshelf
 {
 
-/// Work at one server that one machine has sent there.
+/// Load that one host has put on an upstream.
 struct server_load
 {
-    std::int64_t active = 0;        ///< requests in flight
-    std::int64_t unread_tokens = 0; ///< of prompts before their first event
+    std::int64_t active = 0; ///< requests in flight
+    /// Prompt tokens of requests that have no first event yet.
+    std::int64_t unread_tokens = 0;
 };
 
-/// What an attempt has told of a server.
+/// Outcome of an attempt, as evidence of the upstream's health.
 enum class attempt_outcome
 {
-    answered,    ///< a good answer, or its beginning
-    failed,      ///< the server's own failure
-    refused,     ///< the server is full
-    unreachable, ///< no connection, or it broke
-    silent,      ///< nothing came for too long
+    succeeded,   ///< a successful response, or the start of one
+    failed,      ///< the upstream responded with an error of its own
+    rejected,    ///< the upstream did not run the request, as when it is full
+    unreachable, ///< the connection could not be made, or broke
+    timed_out,   ///< no response within the deadline
 };
 
-/// One request that needs a server.
+/// A request for which an upstream is to be selected.
 struct choice_request
 {
     service_name service;
     bool is_engine = false;
     const request_facts* facts = nullptr;
-    engine_estimate engine; ///< of the service
-    /// The version that the request is tried with; none: those in use.
-    std::optional<picked_target> trial;
-    absl::flat_hash_set<upstream_id> excluded; ///< tried before
-    /// Where an attempt broke: the whole hall may be cut off.
+    engine_estimate engine; ///< speed of the service's engines
+    /// The version under roll-out that gets the request; nothing: the versions
+    /// in use.
+    std::optional<picked_target> canary;
+    absl::flat_hash_set<upstream_id> excluded; ///< already attempted
+    /// Halls in which an attempt broke: the whole hall may be cut off.
     absl::flat_hash_set<hall_id> avoided_halls;
-    /// A server has ended under it: it goes where the least else runs.
+    /// An upstream crashed during an attempt of the request, so it prefers
+    /// upstreams that run few other requests.
     bool is_suspect = false;
-    /// Where other such requests are, which are not to be taken for this one.
+    /// Upstreams that run other suspect requests. A crash there could not be
+    /// attributed to one of them.
     absl::flat_hash_set<upstream_id> suspected_at;
 };
 
-/// What a server probably has to do for a prompt, and before it.
+/// Estimate of the work of an upstream for a prompt, and of the work before it.
 struct expected_work
 {
-    double certain_tokens = 0;  ///< to read, that it has not read before
-    double doubtful_tokens = 0; ///< that it may have read for another host
-    double ahead_tokens = 0;    ///< of this host, sent before
-    double peers_ahead_tokens = 0;
-    std::int64_t running = 0; ///< requests in flight there
-    std::int64_t tokens = 0;  ///< expected to be read
+    double certain_tokens = 0;     ///< not cached: need prefill
+    double doubtful_tokens = 0;    ///< possibly cached for another host
+    double ahead_tokens = 0;       ///< unread tokens of this host's requests
+    double peers_ahead_tokens = 0; ///< unread tokens of other hosts' requests
+    std::int64_t running = 0;      ///< requests in flight at the upstream
+    std::int64_t expected_tokens = 0; ///< expected prefill of the prompt
 };
 
-/// Picks the server with the least work ahead of the request. The work is what
-/// this machine has in flight there, what its peers have told, and the prompt
-/// tokens that the server would have to read; of prompts that nobody has sent
-/// lately, a rendezvous hash tells every machine the same server. Servers that
-/// have failed lately are passed over for a while.
+/// Selects the upstream with the least expected work before the request's first
+/// event. The work consists of what this host has in flight there, what its
+/// peers report to have in flight, and the prompt tokens that need prefill. For
+/// prompts that are not known to be cached anywhere, a rendezvous hash makes
+/// all hosts prefer the same upstream. Upstreams that failed recently are
+/// avoided for a while.
 class server_choice
 {
 public:
+    /// @param directory listed upstreams; must outlive this object
+    /// @param own_hall hall of this host
+    /// @param seed of the random numbers that break ties
     server_choice(const server_directory& directory, hall_id own_hall,
                   std::uint64_t seed, const decision_policy& policy = {});
 
-    /// @return the server, or null if none may get the request
+    /// @return the selected upstream, or null if none may get the request
     [[nodiscard]] const server_entry* choose(const choice_request& request,
                                              absl::Time now);
 
-    /// @return how long the request's first event would take at the server: a
-    /// place there, what is read before it, and its own prompt; in ms
+    /// @return expected time to the request's first event at the upstream, in
+    /// ms: the wait for a free slot, prefill that is queued before the request,
+    /// and prefill of its own prompt
     [[nodiscard]] double expected_first_ms(const server_entry& server,
                                            const choice_request& request) const;
 
-    /// Notes that a request is sent to the server. All that is known of it, and
-    /// all that is noted below, belongs to its newest life.
-    /// @param cache_tokens tokens that the server keeps
-    /// @return what the server probably has to do
-    expected_work start(const upstream_life& server,
-                        const choice_request& request,
-                        std::int64_t cache_tokens);
-
-    /// Notes that a prompt has been read.
-    /// @param tokens as expected when it was sent
-    void prompt_read(const upstream_life& server, std::int64_t tokens);
-
-    /// Notes that a request no longer runs at the server.
-    void end(const upstream_life& server);
-
-    /// Notes how an attempt went.
-    void report(const upstream_life& server, attempt_outcome outcome,
-                absl::Time now);
-
-    /// Notes that a server wants nothing from this host until then. Nothing
-    /// shortens that but its next life: not an answer in order, nor that it is
-    /// unlisted meanwhile.
-    void note_rest(const upstream_life& server, absl::Time until,
-                   absl::Time now);
-
-    /// Chooses other servers until then, since this one has no room within its
-    /// limit.
-    void pass_over(const upstream_life& server, absl::Time until);
-
-    /// @return the servers of the service that are passed over now
+    /// Records that a request is sent to the upstream. All state about an
+    /// upstream belongs to its newest incarnation: this method and those below
+    /// record nothing for an earlier one.
+    /// @param cache_tokens capacity of the upstream's prefix cache
+    /// @return estimate of the upstream's work
+    expected_work begin_attempt(const upstream_incarnation& server,
+                                const choice_request& request,
+                                std::int64_t cache_tokens);
+
+    /// Records that the prefill of an attempt's prompt is over.
+    /// @param tokens `expected_tokens` that begin_attempt() returned
+    void end_prefill(const upstream_incarnation& server, std::int64_t tokens);
+
+    /// Records that an attempt is no longer in flight at the upstream.
+    void end_attempt(const upstream_incarnation& server);
+
+    /// Updates the upstream's health with the outcome of an attempt.
+    void record_outcome(const upstream_incarnation& server,
+                        attempt_outcome outcome, absl::Time now);
+
+    /// Sends the upstream nothing until a time, since it asked this host to
+    /// back off. Only a new incarnation ends the back-off earlier; a
+    /// successful response, a request for a shorter back-off, or a temporary
+    /// removal from the list does not.
+    void set_back_off(const upstream_incarnation& server, absl::Time until,
+                      absl::Time now);
+
+    /// Passes over the upstream until a time, since its rate limit is used up.
+    void pass_over(const upstream_incarnation& server, absl::Time until);
+
+    /// @return the service's upstreams that are passed over now
     [[nodiscard]] std::vector<upstream_id>
     passed_over(const service_name& service, absl::Time now) const;
 
-    /// @return when the first of a service's servers may be asked again, if
-    /// all that may get new work want nothing now
+    /// @return earliest end of a back-off, if all usable upstreams of the
+    /// service have asked this host to back off; otherwise nothing
     [[nodiscard]] std::optional<absl::Time>
-    all_rest_until(const service_name& service, absl::Time now) const;
+    earliest_back_off_end(const service_name& service, absl::Time now) const;
 
-    /// Forgets what was known of a server that has started again.
-    void forget(const upstream_id& server);
+    /// Discards all state of an upstream that has restarted.
+    void reset_server(const upstream_id& server);
 
-    /// Replaces what a peer has in flight.
+    /// Replaces the loads that a peer reports for its requests in flight.
     void set_peer_load(const host_id& peer,
                        absl::flat_hash_map<upstream_id, server_load> loads);
 
-    /// Forgets a peer that is gone.
+    /// Discards the loads of a peer that has left.
     void drop_peer(const host_id& peer);
 
-    /// Forgets servers that are no longer listed.
+    /// Discards the state of upstreams that are no longer listed, except
+    /// back-offs and the load of requests in flight.
     void drop_unlisted();
 
-    /// @return what this machine has in flight, by server
+    /// @return load of this host's requests in flight, by upstream
     [[nodiscard]] const absl::flat_hash_map<upstream_id, server_load>&
     own_loads() const
     {
-        return m_own;
+        return m_own_loads;
     }
 
-    /// @return what all machines have in flight at a server, as far as known
+    /// @return load of all hosts' requests in flight at an upstream, as far as
+    /// known; without that of peers if the policy does not count it
     [[nodiscard]] server_load total_load(const upstream_id& server) const;
 
 private:
     struct health
     {
-        int failures = 0; ///< one after the other
-        absl::Time suspect_until = absl::InfinitePast();
+        int consecutive_failures = 0;
+        absl::Time unhealthy_until = absl::InfinitePast();
     };
 
-    [[nodiscard]] bool is_over(const upstream_life& server) const;
-    [[nodiscard]] absl::Time rest_end(const upstream_id& server) const;
+    [[nodiscard]] bool is_superseded(const upstream_incarnation& server) const;
+    [[nodiscard]] absl::Time back_off_end(const upstream_id& server) const;
     [[nodiscard]] bool is_passed_over(const upstream_id& server,
                                       absl::Time now) const;
     [[nodiscard]] std::vector<const server_entry*>
     candidates(const choice_request& request) const;
     double cost_of(const server_entry& server, const choice_request& request,
-                   const upstream_id& home, absl::Time now);
+                   const upstream_id& preferred, absl::Time now);
     [[nodiscard]] double engine_cost(const server_entry& server,
                                      const choice_request& request,
-                                     const upstream_id& home) const;
+                                     const upstream_id& preferred) const;
     [[nodiscard]] double call_cost(const server_entry& server) const;
-    [[nodiscard]] expected_work expect(const upstream_id& server,
-                                       const choice_request& request,
-                                       const upstream_id& home) const;
+    [[nodiscard]] expected_work
+    estimate_work(const upstream_id& server, const choice_request& request,
+                  const upstream_id& preferred) const;
     [[nodiscard]] server_load own_load(const upstream_id& server) const;
     [[nodiscard]] server_load peers_load(const upstream_id& server) const;
-    [[nodiscard]] upstream_id home_of(const choice_request& request) const;
+    [[nodiscard]] upstream_id
+    rendezvous_server(const choice_request& request) const;
     void
-    add_to_peers(const absl::flat_hash_map<upstream_id, server_load>& loads,
-                 int sign);
+    add_to_peer_sums(const absl::flat_hash_map<upstream_id, server_load>& loads,
+                     int sign);
     const server_directory& m_directory;
     hall_id m_own_hall;
     decision_policy m_policy;
     absl::BitGen m_random;
-    absl::flat_hash_map<upstream_id, server_load> m_own;
+    absl::flat_hash_map<upstream_id, server_load> m_own_loads;
     absl::flat_hash_map<host_id, absl::flat_hash_map<upstream_id, server_load>>
-        m_peers;
-    absl::flat_hash_map<upstream_id, server_load> m_peers_sum;
+        m_peer_loads;
+    absl::flat_hash_map<upstream_id, server_load> m_peer_load_sums;
     absl::flat_hash_map<upstream_id, health> m_health;
-    absl::flat_hash_map<upstream_id, absl::Time> m_rests;       ///< their ends
+    absl::flat_hash_map<upstream_id, absl::Time> m_back_off_ends;
     absl::flat_hash_map<upstream_id, absl::Time> m_passed_over; ///< until when
-    absl::flat_hash_map<upstream_id, prompt_memory> m_prompts;
+    absl::flat_hash_map<upstream_id, prefix_cache_estimate> m_prefix_caches;
 };
 
 } // namespace daleshelf
--- a/libraries/ingress/server_directory.cpp
+++ b/libraries/ingress/server_directory.cpp
@@ -9,17 +9,18 @@
 namespace
 {
 
-constexpr std::size_t most_departed = 4096;
+constexpr std::size_t max_removed = 4096;
 
 } // namespace
 
 entry_change server_directory::set(const server_entry& entry)
 {
     const auto known = last_known(entry.id);
-    const upstream_life known_life{entry.id,
-                                   known ? known->born : upstream_birth()};
-    const bool is_new_life = entry.life().is_after(known_life);
-    if (known && !is_new_life && is_outdated(entry, *known))
+    const upstream_incarnation known_incarnation{
+        entry.id, known ? known->started_at : upstream_birth()};
+    const bool is_restart =
+        entry.incarnation().is_newer_than(known_incarnation);
+    if (known && !is_restart && is_outdated(entry, *known))
     {
         return entry_change::none;
     }
@@ -28,16 +29,18 @@
     m_withheld.erase(entry.id);
     auto& listed = m_servers[entry.id];
     listed = entry;
-    if (is_new_life)
+    if (is_restart)
     {
-        return entry_change::new_life;
+        return entry_change::restarted;
     }
-    // A late record says less than one before it of the same life.
+    // Within one incarnation the highest sequence number counts, also when an
+    // older record arrives late.
     listed.sequence = std::max(entry.sequence, known ? known->sequence : 0);
-    // A life that has said that it leaves stays so, and keeps its birth when a
-    // record of it does not tell that.
-    listed.is_draining = entry.is_draining || (known && known->was_leaving);
-    listed.born = std::max(entry.born, known_life.born);
+    // An incarnation that drains keeps draining, and its start time is kept
+    // when a record lacks it.
+    listed.is_draining = entry.is_draining || (known && known->was_draining);
+    listed.started_at =
+        std::max(entry.started_at, known_incarnation.started_at);
     const bool is_same = was_listed && was_usable == is_usable(entry.id);
     return is_same ? entry_change::none : entry_change::changed;
 }
@@ -52,12 +55,14 @@
     return was_usable;
 }
 
-bool server_directory::note_leaving(const upstream_life& server)
+bool server_directory::mark_draining(const upstream_incarnation& server)
 {
     const auto known = last_known(server.id);
-    const bool is_over =
-        known && upstream_life{server.id, known->born}.is_after(server);
-    if (!known || is_over)
+    const bool is_superseded =
+        known &&
+        upstream_incarnation{server.id, known->started_at}.is_newer_than(
+            server);
+    if (!known || is_superseded)
     {
         return false;
     }
@@ -68,8 +73,8 @@
         listed->second.is_draining = true;
         return was_usable;
     }
-    // A record of it that comes late lists it no more.
-    m_departed.at(server.id).was_leaving = true;
+    // Keeps a late record from listing it again.
+    m_removed.at(server.id).was_draining = true;
     return false;
 }
 
@@ -80,82 +85,84 @@
     {
         return false;
     }
-    remember(found->second);
+    record_removal(found->second);
     m_servers.erase(found);
     m_withheld.erase(id);
     return true;
 }
 
-// What the list has, or had, of the server.
-std::optional<server_directory::departure>
+// The state in which the upstream is listed, or was when it was removed.
+std::optional<server_directory::removed_server>
 server_directory::last_known(const upstream_id& id) const
 {
     if (const auto* listed = find(id))
     {
-        return departure{listed->born, listed->is_draining, listed->sequence};
+        return removed_server{listed->started_at, listed->is_draining,
+                              listed->sequence};
     }
-    const auto departed = m_departed.find(id);
-    if (departed == m_departed.end())
+    const auto removed = m_removed.find(id);
+    if (removed == m_removed.end())
     {
         return std::nullopt;
     }
-    return departed->second;
+    return removed->second;
 }
 
-// Whether the record is of an earlier life, or of a time of this one before it
-// was last known.
+// Whether the record is of an earlier incarnation, or older than the last known
+// state of this one.
 bool server_directory::is_outdated(const server_entry& entry,
-                                   const departure& known) const
+                                   const removed_server& known) const
 {
-    if (upstream_life{entry.id, known.born}.is_after(entry.life()))
+    if (upstream_incarnation{entry.id, known.started_at}.is_newer_than(
+            entry.incarnation()))
     {
         return true;
     }
-    const bool has_number = entry.sequence > 0;
+    const bool has_sequence = entry.sequence > 0;
     if (m_withheld.contains(entry.id))
     {
-        return has_number && entry.sequence < known.sequence;
+        return has_sequence && entry.sequence < known.sequence;
     }
     if (m_servers.contains(entry.id))
     {
         return false;
     }
-    return known.was_leaving ||
-           (has_number && entry.sequence <= known.sequence);
+    return known.was_draining ||
+           (has_sequence && entry.sequence <= known.sequence);
 }
 
-void server_directory::remember(const server_entry& entry)
+void server_directory::record_removal(const server_entry& entry)
 {
-    const auto [place, is_new] = m_departed.try_emplace(entry.id);
-    place->second = {entry.born, entry.is_draining, entry.sequence};
+    const auto [position, is_new] = m_removed.try_emplace(entry.id);
+    position->second = {entry.started_at, entry.is_draining, entry.sequence};
     if (!is_new)
     {
         return;
     }
-    m_departed_order.push_back(entry.id);
-    if (m_departed_order.size() > most_departed)
+    m_removal_order.push_back(entry.id);
+    if (m_removal_order.size() > max_removed)
     {
-        m_departed.erase(m_departed_order.front());
-        m_departed_order.pop_front();
+        m_removed.erase(m_removal_order.front());
+        m_removal_order.pop_front();
     }
 }
 
 std::vector<upstream_id>
 server_directory::keep_only(const absl::flat_hash_set<upstream_id>& listed)
 {
-    std::vector<upstream_id> gone;
+    std::vector<upstream_id> unlisted;
     for (const auto& [id, entry] : m_servers)
     {
         if (!listed.contains(id))
         {
-            gone.push_back(id);
+            unlisted.push_back(id);
         }
     }
-    for (const auto& id : gone)
+    for (const auto& id : unlisted)
     {
         remove(id);
     }
-    return gone;
+    return unlisted;
 }
 
 const server_entry* server_directory::find(const upstream_id& id) const
@@ -170,14 +177,14 @@
     return entry != nullptr && !entry->is_draining && !m_withheld.contains(id);
 }
 
-template <typename Wanted>
+template <typename Predicate>
 std::vector<const server_entry*>
-server_directory::sorted_servers(Wanted is_wanted) const
+server_directory::sorted_servers(Predicate matches) const
 {
     std::vector<const server_entry*> result;
     for (const auto& [id, entry] : m_servers)
     {
-        if (is_usable(id) && is_wanted(entry))
+        if (is_usable(id) && matches(entry))
         {
             result.push_back(&entry);
         }
@@ -200,8 +207,9 @@
 }
 
 std::vector<const server_entry*>
-server_directory::trial_servers(const service_name& service,
-                                const version_name& version, double share) const
+server_directory::canary_servers(const service_name& service,
+                                 const version_name& version,
+                                 double share) const
 {
     auto servers = sorted_servers(
         [&](const server_entry& entry)
--- a/libraries/ingress/server_directory.hpp
+++ b/libraries/ingress/server_directory.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The servers that the platform lists, and whether they may get new work.
+/// The upstreams that the platform lists, and whether they accept new requests.
 #pragma once
 
-#include "upstream_life.hpp"
+#include "upstream_incarnation.hpp"
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
@@ -20,90 +20,93 @@
 namespace daleshelf
 {
 
-/// One life of a server, as it is listed.
+/// One incarnation of an upstream, as the platform lists it.
 struct server_entry
 {
     upstream_id id;
-    upstream_birth born;
+    upstream_birth started_at; ///< Unix ms; 0: unknown
     service_name service;
     version_name version;
     std::string address; ///< IP:PORT
     hall_id hall;
-    int slots = 1;
+    int slots = 1; ///< requests that run concurrently
     bool is_draining = false;
     bool is_spot = false;
-    std::chrono::milliseconds cold_remaining{0};
-    std::int64_t sequence = 0; ///< grows with each record of a life; 0: unknown
+    std::chrono::milliseconds cold_remaining{0}; ///< left of the cold start
+    /// Increases with each record of an incarnation; 0: unknown.
+    std::int64_t sequence = 0;
 
-    [[nodiscard]] upstream_life life() const
+    [[nodiscard]] upstream_incarnation incarnation() const
     {
-        return {id, born};
+        return {id, started_at};
     }
 };
 
-/// What a record has changed.
+/// Effect of a record on the directory.
 enum class entry_change
 {
-    none,     ///< nothing, or the record is of an earlier time
-    changed,  ///< the server is new here, or has begun to leave
-    new_life, ///< the server has started again: what was known of it is void
+    none,      ///< nothing new, or the record is outdated
+    changed,   ///< the upstream is new here, usable again, or draining
+    restarted, ///< a new incarnation: all state of the earlier one is stale
 };
 
-/// The newest list of servers. A server that is listed as draining, or no
-/// longer listed, gets no new work. Records may come late: a life that has said
-/// that it leaves never comes back, and one that was removed without a word
-/// comes back only by a record that is newer than its last. A later life of the
-/// same server takes its place, whatever became of the earlier ones; an earlier
-/// one never does.
+/// The newest list of upstreams. An upstream that is listed as draining, or is
+/// no longer listed, gets no new requests. Records may arrive late or out of
+/// order. An incarnation that has announced that it drains never becomes usable
+/// again. One that was removed without draining returns only with a record
+/// whose sequence number is higher than the last one. A later incarnation of
+/// the same upstream always replaces an earlier one, whatever state that was
+/// in; an earlier one never replaces a later one.
 class server_directory
 {
 public:
-    /// Takes one record of the list.
-    /// @param entry the server, as it is now
-    /// @return what has changed
+    /// Applies one record of the list.
+    /// @param entry the upstream as the record describes it
+    /// @return what the record changed
     entry_change set(const server_entry& entry);
 
-    /// Takes a record that is not the server's own: it names no server to use,
-    /// until the server has written its own again.
-    /// @return whether the server was usable
+    /// Makes an upstream unusable because its record was overwritten by another
+    /// writer, until the upstream writes a record of its own again.
+    /// @return whether the upstream was usable before
     bool withhold(const upstream_id& id);
 
-    /// Notes that a life has itself said that it leaves, whatever is listed: a
-    /// host that hears nothing of the list has only answers to go by.
-    /// @return whether the server was usable
-    bool note_leaving(const upstream_life& server);
+    /// Marks an incarnation as draining because it announced so in a response,
+    /// whatever the list says: a host that is cut off from the list has only
+    /// responses to rely on.
+    /// @return whether the upstream was usable before
+    bool mark_draining(const upstream_incarnation& server);
 
-    /// @param id a server that is no longer listed
+    /// Removes an upstream that is no longer listed.
     /// @return whether it was listed
     bool remove(const upstream_id& id);
 
-    /// Removes every server that a whole list lacks.
-    /// @return those that were removed
+    /// Removes every upstream that is missing from a complete list.
+    /// @return the removed ones
     std::vector<upstream_id>
     keep_only(const absl::flat_hash_set<upstream_id>& listed);
 
-    /// @return the server, or null
+    /// @return the listed upstream, or null
     [[nodiscard]] const server_entry* find(const upstream_id& id) const;
 
-    /// @return whether new work may go to the server
+    /// @return whether the upstream may get new requests
     [[nodiscard]] bool is_usable(const upstream_id& id) const;
 
-    /// @return all servers of a service that may get new work, of versions
-    /// that may
+    /// @return the service's upstreams that may get new requests, sorted by id;
+    /// only of versions that the version gate allows
     [[nodiscard]] std::vector<const server_entry*>
     usable(const service_name& service) const;
 
-    /// @param share of the service's requests, that the version gets
-    /// @return so large a part of the version's servers, the same ones at each
-    /// host, that each of them is as busy as those of other versions
+    /// @param share fraction of the service's requests that the version gets
+    /// @return the same fraction of the version's upstreams, so that each is as
+    /// busy as those of other versions; every host gets the same ones
     [[nodiscard]] std::vector<const server_entry*>
-    trial_servers(const service_name& service, const version_name& version,
-                  double share) const;
+    canary_servers(const service_name& service, const version_name& version,
+                   double share) const;
 
-    /// @return every listed server
+    /// @return every listed upstream, usable or not
     [[nodiscard]] std::vector<const server_entry*> all() const;
 
-    /// @return which versions may get work
+    /// @return the gate that decides which versions may get requests
     [[nodiscard]] version_gate& versions()
     {
         return m_versions;
@@ -115,27 +118,28 @@
     }
 
 private:
-    /// What is remembered of a server that is no longer listed.
-    struct departure
+    /// The last known state of an upstream that is no longer listed.
+    struct removed_server
     {
-        upstream_birth born;
-        bool was_leaving = false;
+        upstream_birth started_at; ///< Unix ms; 0: unknown
+        bool was_draining = false;
         std::int64_t sequence = 0;
     };
 
-    [[nodiscard]] std::optional<departure>
+    [[nodiscard]] std::optional<removed_server>
     last_known(const upstream_id& id) const;
     [[nodiscard]] bool is_outdated(const server_entry& entry,
-                                   const departure& known) const;
-    template <typename Wanted>
+                                   const removed_server& known) const;
+    template <typename Predicate>
     [[nodiscard]] std::vector<const server_entry*>
-    sorted_servers(Wanted is_wanted) const;
-    void remember(const server_entry& entry);
+    sorted_servers(Predicate matches) const;
+    void record_removal(const server_entry& entry);
 
-    absl::flat_hash_map<upstream_id, departure> m_departed;
-    std::deque<upstream_id> m_departed_order; ///< the oldest first
+    absl::flat_hash_map<upstream_id, removed_server> m_removed;
+    std::deque<upstream_id> m_removal_order; ///< oldest removal first
     absl::flat_hash_map<upstream_id, server_entry> m_servers;
-    absl::flat_hash_set<upstream_id> m_withheld; ///< listed by another writer
+    /// Upstreams whose record another writer has overwritten.
+    absl::flat_hash_set<upstream_id> m_withheld;
     version_gate m_versions;
 };
 
--- a/libraries/quotas/quota_message.cpp
+++ b/libraries/quotas/quota_message.cpp
@@ -48,7 +48,7 @@
     bytes.set_upstream(message.upstream.value());
     if (message.limit && message.limit->per_second)
     {
-        bytes.set_born(message.limit->server.born.value());
+        bytes.set_born(message.limit->server.started_at.value());
         bytes.set_upstream_limit(*message.limit->per_second);
         bytes.set_named_at_ms(absl::ToUnixMillis(message.limit->named_at));
     }
--- a/libraries/quotas/shared_quota.cpp
+++ b/libraries/quotas/shared_quota.cpp
@@ -74,7 +74,8 @@
 }
 
 void shared_quota::evict_limits(
-    const std::function<bool(const upstream_life&)>& is_gone, absl::Time now)
+    const std::function<bool(const upstream_incarnation&)>& is_gone,
+    absl::Time now)
 {
     for (const auto& upstream : m_limits.evict(is_gone, now))
     {
--- a/libraries/quotas/shared_quota.hpp
+++ b/libraries/quotas/shared_quota.hpp
@@ -63,8 +63,9 @@
     void merge_limit(const limit_record& told, absl::Time now);
 
     /// Forgets limits of upstreams that are gone.
-    void evict_limits(const std::function<bool(const upstream_life&)>& is_gone,
-                      absl::Time now);
+    void evict_limits(
+        const std::function<bool(const upstream_incarnation&)>& is_gone,
+        absl::Time now);
 
     /// @return the limits of upstreams, as far as known here
     [[nodiscard]] limit_table& limits()
--- a/libraries/scaling/scale_planner.cpp
+++ b/libraries/scaling/scale_planner.cpp
@@ -161,14 +161,15 @@
     const auto mix = cheapest_mix(static_cast<int>(with_spot.size()),
                                   limits.spot_price, rest, options);
     add_evenly(plan, halls, &scale_target::on_demand, mix.on_demand,
-               limits.most);
-    add_evenly(plan, with_spot, &scale_target::spot, mix.spot, limits.most);
+               limits.max_servers);
+    add_evenly(plan, with_spot, &scale_target::spot, mix.spot,
+               limits.max_servers);
     // 3. What halls had no room for has to be on demand elsewhere.
     add_evenly(plan, halls, &scale_target::on_demand,
-               std::max(0, need.least - total_of(plan)), limits.most);
+               std::max(0, need.least - total_of(plan)), limits.max_servers);
     for (auto& [hall, target] : plan)
     {
-        const auto missing = limits.least - total_of(target);
+        const auto missing = limits.min_servers - total_of(target);
         target.on_demand += std::max(0, missing);
     }
     return plan;
--- a/libraries/upstream_limits/limit_message.cpp
+++ b/libraries/upstream_limits/limit_message.cpp
@@ -32,7 +32,7 @@
     {
         auto& item = *message.add_records();
         item.set_server(record.server.id.value());
-        item.set_born(record.server.born.value());
+        item.set_born(record.server.started_at.value());
         item.set_named_at_ms(absl::ToUnixMillis(record.named_at));
         if (record.per_second)
         {
--- a/libraries/upstream_limits/limit_record.hpp
+++ b/libraries/upstream_limits/limit_record.hpp
@@ -4,7 +4,7 @@
 
 #include <absl/time/time.h>
 
-#include <ingress/upstream_life.hpp>
+#include <ingress/upstream_incarnation.hpp>
 #include <optional>
 
 namespace daleshelf
@@ -13,7 +13,7 @@
 /// What an upstream's newest answer has said of its limit.
 struct limit_record
 {
-    upstream_life server;
+    upstream_incarnation server;
     /// Requests a second that it takes from the whole fleet; nothing: it no
     /// longer names a limit.
     std::optional<double> per_second;
--- a/libraries/upstream_limits/limit_table.cpp
+++ b/libraries/upstream_limits/limit_table.cpp
@@ -24,11 +24,11 @@
 
 bool is_newer(const limit_record& one, const limit_record& other)
 {
-    if (one.server.is_after(other.server))
+    if (one.server.is_newer_than(other.server))
     {
         return true;
     }
-    if (other.server.is_after(one.server))
+    if (other.server.is_newer_than(one.server))
     {
         return false;
     }
@@ -55,11 +55,11 @@
                        limit_origin::answer, now);
     }
     const auto& [record, learned_at] = known->second;
-    if (record.server.is_after(seen.server))
+    if (record.server.is_newer_than(seen.server))
     {
         return false;
     }
-    const bool is_same_life = !seen.server.is_after(record.server);
+    const bool is_same_life = !seen.server.is_newer_than(record.server);
     const bool may_be_older = is_same_life && seen.sent_at < learned_at;
     if (!seen.per_second && may_be_older)
     {
@@ -161,9 +161,9 @@
     return records;
 }
 
-std::vector<upstream_id>
-limit_table::evict(const std::function<bool(const upstream_life&)>& is_gone,
-                   absl::Time now)
+std::vector<upstream_id> limit_table::evict(
+    const std::function<bool(const upstream_incarnation&)>& is_gone,
+    absl::Time now)
 {
     std::vector<upstream_id> forgotten;
     for (auto known = m_entries.begin(); known != m_entries.end();)
--- a/libraries/upstream_limits/limit_table.hpp
+++ b/libraries/upstream_limits/limit_table.hpp
@@ -26,7 +26,7 @@
     /// What an answer to this host says.
     struct answer
     {
-        upstream_life server;
+        upstream_incarnation server;
         /// Nothing: the answer names no limit.
         std::optional<double> per_second;
         absl::Time sent_at; ///< when its request was sent, monotonic
@@ -74,7 +74,7 @@
     /// ago.
     /// @return the upstreams whose limit is forgotten
     std::vector<upstream_id>
-    evict(const std::function<bool(const upstream_life&)>& is_gone,
+    evict(const std::function<bool(const upstream_incarnation&)>& is_gone,
           absl::Time now);
 
 private:
--- a/services/gateway/gateway_records.cpp
+++ b/services/gateway/gateway_records.cpp
@@ -138,15 +138,16 @@
                                            gateway_state::now());
     const auto* before = m_state.servers.find(entry.id);
     const bool was_to_stay = before != nullptr && !before->is_draining;
-    const auto born_before = was_to_stay ? before->born : entry.born;
+    const auto born_before =
+        was_to_stay ? before->started_at : entry.started_at;
     const auto change = m_state.servers.set(entry);
     if (change == entry_change::none)
     {
         return;
     }
-    if (change == entry_change::new_life)
+    if (change == entry_change::restarted)
     {
-        m_state.choice.forget(entry.id);
+        m_state.choice.reset_server(entry.id);
         m_state.pool.drop(entry.id);
         if (was_to_stay)
         {
@@ -155,7 +156,7 @@
     }
     const std::string_view state = entry.is_draining ? "draining" : "ready";
     const std::string_view again =
-        change == entry_change::new_life ? "restarted," : "";
+        change == entry_change::restarted ? "restarted," : "";
     note_change(record, concat(again, state, "@", entry.hall.value()));
 }
 
--- a/services/gateway/gateway_state.hpp
+++ b/services/gateway/gateway_state.hpp
@@ -16,7 +16,7 @@
 #include <duties/usage_counter.hpp>
 #include <engines/engine_table.hpp>
 #include <engines/service_work.hpp>
-#include <ingress/retry_allowance.hpp>
+#include <ingress/retry_budget_share.hpp>
 #include <ingress/route_table.hpp>
 #include <ingress/server_choice.hpp>
 #include <ingress/server_directory.hpp>
@@ -88,7 +88,7 @@
     server_choice choice;
     connection_pool pool;
     quota_service quota;
-    retry_allowance retries;
+    retry_budget_share retries;
     usage_counter usage;
     absl::BitGen random;
     engine_table engines;
--- a/services/gateway/peer_exchange.cpp
+++ b/services/gateway/peer_exchange.cpp
@@ -219,7 +219,7 @@
                                              join_margin);
         m_state.quota.tick();
         m_state.engines.refresh();
-        m_state.retries.set_machines(m_state.quota.shared().counted_hosts(now));
+        m_state.retries.set_hosts(m_state.quota.shared().counted_hosts(now));
         m_state.change_pause =
             std::clamp(absl::ToChronoMilliseconds(m_table.send_pause() / 3),
                        least_change_pause,
--- a/services/gateway/request_choice.cpp
+++ b/services/gateway/request_choice.cpp
@@ -29,16 +29,16 @@
     const auto now = gateway_state::now();
     if (m_tried.empty())
     {
-        wanted.trial = m_state.rollouts.pick_target(m_service->name, now);
+        wanted.canary = m_state.rollouts.pick_target(m_service->name, now);
     }
     const auto* server = m_state.choice.choose(wanted, now);
     const bool is_tried_in_vain =
-        wanted.trial && (server == nullptr || hopeless_for(*server, wanted));
+        wanted.canary && (server == nullptr || hopeless_for(*server, wanted));
     if (!is_tried_in_vain)
     {
         return server;
     }
-    wanted.trial.reset();
+    wanted.canary.reset();
     return m_state.choice.choose(wanted, now);
 }
 
@@ -76,7 +76,8 @@
 {
     refund_quota();
     const auto now = gateway_state::now();
-    if (const auto rest = m_state.choice.all_rest_until(m_service->name, now))
+    if (const auto rest =
+            m_state.choice.earliest_back_off_end(m_service->name, now))
     {
         co_await refuse(http_status::unavailable, "servers_rest",
                         std::clamp(absl::ToChronoMilliseconds(*rest - now),
--- a/services/gateway/request_engines.cpp
+++ b/services/gateway/request_engines.cpp
@@ -25,7 +25,7 @@
     {
         return std::nullopt;
     }
-    return expected - m_route->objective;
+    return expected - m_route->latency_objective;
 }
 
 // What the head's time, which is that of the first event, shows of a version.
@@ -67,11 +67,12 @@
     {
         return;
     }
-    const auto tokens = static_cast<double>(m_work.tokens);
+    const auto tokens = static_cast<double>(m_work.expected_tokens);
     auto& load = m_state.loads[m_service->name];
     load.work += {1, tokens, tokens * tokens,
-                  static_cast<double>(m_facts.answer_tokens)};
-    load.samples.add({tokens, static_cast<double>(m_route->objective.count())});
+                  static_cast<double>(m_facts.max_output_tokens)};
+    load.samples.add(
+        {tokens, static_cast<double>(m_route->latency_objective.count())});
 }
 
 // One that had to wait for a place, or that goes on elsewhere, tells nothing
@@ -105,7 +106,7 @@
         return;
     }
     generation_seen seen;
-    seen.allowed_tokens = static_cast<double>(m_facts.answer_tokens);
+    seen.allowed_tokens = static_cast<double>(m_facts.max_output_tokens);
     seen.events = static_cast<double>(events);
     seen.first_to_last_ms = to_ms(time);
     seen.running = static_cast<double>(m_work.running + 1);
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -114,8 +114,8 @@
     // 4. The quota.
     if (m_tenant != nullptr)
     {
-        const auto stated = m_facts.prompt_tokens + m_facts.answer_tokens;
-        const auto tokens = stated > 0 ? stated : m_tenant->plain_tokens;
+        const auto stated = m_facts.prompt_tokens + m_facts.max_output_tokens;
+        const auto tokens = stated > 0 ? stated : m_tenant->default_tokens;
         m_quota_cost =
             m_tenant->counts_tokens ? static_cast<double>(tokens) : 1.0;
         auto verdict =
@@ -198,7 +198,7 @@
     server_request sent(std::move(target.permit), target.server);
     sent.id = m_facts.id.value();
     sent.bytes = bytes_for(target.server);
-    sent.is_repeatable = may_repeat(*m_route);
+    sent.is_repeatable = allows_repeats(*m_route);
     sent.has_no_answer_body = m_request.head.method == "HEAD";
     sent.deadline = m_deadline;
     return sent;
@@ -214,8 +214,8 @@
         m_service->is_engine && m_state.rollouts.is_watching(m_service->name)
             ? m_state.choice.expected_first_ms(server, wanted)
             : 0;
-    m_work =
-        m_state.choice.start(server.life(), wanted, m_service->cache_tokens);
+    m_work = m_state.choice.begin_attempt(server.incarnation(), wanted,
+                                          m_service->cache_tokens);
     m_seen = {};
     const auto suspect = m_suspect;
     if (suspect)
@@ -231,7 +231,7 @@
         state = co_await exchange.start();
     }
     heed(m_state, server, exchange.notice(), gateway_state::to_time(sent_at));
-    m_state.choice.prompt_read(server.life(), m_work.tokens);
+    m_state.choice.end_prefill(server.incarnation(), m_work.expected_tokens);
     m_was_sent = exchange.known_verdict() != verdict::not_run;
     if (m_was_sent)
     {
@@ -242,7 +242,7 @@
     {
         m_state.limits.refund(exchange.take_permit());
     }
-    auto outcome = attempt_outcome::answered;
+    auto outcome = attempt_outcome::succeeded;
     if (m_is_cancelled)
     {
         end = attempt_end::abandoned;
@@ -251,7 +251,7 @@
     else if (state == exchange_state::late)
     {
         m_may_have_run = true;
-        outcome = attempt_outcome::silent;
+        outcome = attempt_outcome::timed_out;
         end = attempt_end::late;
     }
     else if (state == exchange_state::failed)
@@ -263,7 +263,7 @@
     }
     else if (platform::states_not_run(exchange.head()))
     {
-        outcome = attempt_outcome::refused;
+        outcome = attempt_outcome::rejected;
         end = attempt_end::not_run;
     }
     else
@@ -296,10 +296,11 @@
     {
         m_state.suspects.end(suspect->print, server.id);
     }
-    m_state.choice.end(server.life());
+    m_state.choice.end_attempt(server.incarnation());
     if (end != attempt_end::abandoned)
     {
-        m_state.choice.report(server.life(), outcome, gateway_state::now());
+        m_state.choice.record_outcome(server.incarnation(), outcome,
+                                      gateway_state::now());
     }
     co_return end;
 }
@@ -326,7 +327,7 @@
     }
     const bool may_run_again =
         !m_may_have_run ||
-        (may_repeat(*m_route) && m_attempts < m_route->max_attempts);
+        (allows_repeats(*m_route) && m_attempts < m_route->max_attempts);
     if (!may_run_again || m_attempts > m_route->max_attempts)
     {
         return false;
--- a/services/gateway/request_log.cpp
+++ b/services/gateway/request_log.cpp
@@ -40,7 +40,7 @@
     log(events::upstream_failed,
         {{"id", m_facts.id.value()},
          {"server", server.id.value()},
-         {"born", std::to_string(server.born.value())},
+         {"born", std::to_string(server.started_at.value())},
          {"end", std::string(names.at(static_cast<std::size_t>(end)))},
          {"attempts", std::to_string(m_attempts)},
          {"ms", std::to_string(elapsed().count())}});
--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -139,7 +139,7 @@
         note_open(server, end, began);
         return;
     }
-    const whole_answer given{{server.id, server.born}, m_state.self};
+    const whole_answer given{{server.id, server.started_at}, m_state.self};
     const auto now = gateway_state::now();
     if (m_suspect)
     {
--- a/services/gateway/request_relay.cpp
+++ b/services/gateway/request_relay.cpp
@@ -81,7 +81,7 @@
         co_return is_sent ? attempt_end::answered : attempt_end::abandoned;
     }
     const auto status = exchange.head().status;
-    if (status >= http_status::first_server_error && may_repeat(*m_route) &&
+    if (status >= http_status::first_server_error && allows_repeats(*m_route) &&
         status != http_status::gateway_timeout)
     {
         m_error_answer.emplace(exchange.head(), std::move(body));
--- a/services/gateway/scale_service.cpp
+++ b/services/gateway/scale_service.cpp
@@ -333,7 +333,7 @@
     options.slots = service.engine_slots;
     options.gap_objective_ms = gap_objective_ms(service.name);
     options.late_part = m_state.settings.late_part;
-    options.most = service.scaling.most *
+    options.most = service.scaling.max_servers *
                    static_cast<int>(service.scaling.hall_prices.size());
     const auto peak = known->second.meter.peak();
     auto need = servers_needed(
@@ -353,7 +353,7 @@
     std::vector<double> limits;
     for (const auto* server : m_state.servers.usable(service))
     {
-        if (const auto limit = m_state.limits.limit_of(server->life()))
+        if (const auto limit = m_state.limits.limit_of(server->incarnation()))
         {
             limits.push_back(*limit);
         }
--- a/services/gateway/server_ends.cpp
+++ b/services/gateway/server_ends.cpp
@@ -81,13 +81,13 @@
 void server_ends::note_open(const server_entry& server,
                             const suspect_request& request, absl::Time began)
 {
-    m_open.note({server.id, server.born},
+    m_open.note({server.id, server.started_at},
                 {request, began, gateway_state::now()});
 }
 
 void server_ends::ask_soon(const server_entry& server, end_sign sign)
 {
-    const server_life life{server.id, server.born};
+    const server_life life{server.id, server.started_at};
     if (!was_to_stay(server) || !m_open.has(life, gateway_state::now()))
     {
         return;
@@ -119,7 +119,7 @@
 
 awaitable<void> server_ends::ask_port(server_entry server, end_sign sign)
 {
-    const server_life life{server.id, server.born};
+    const server_life life{server.id, server.started_at};
     const auto endpoint = parse_endpoint(server.address);
     if (!endpoint)
     {
--- a/services/gateway/server_notices.cpp
+++ b/services/gateway/server_notices.cpp
@@ -11,7 +11,7 @@
 
 void heed_leaving(gateway_state& state, const server_entry& server)
 {
-    const bool is_news = state.servers.note_leaving(server.life());
+    const bool is_news = state.servers.mark_draining(server.incarnation());
     if (!is_news)
     {
         return;
@@ -19,7 +19,7 @@
     state.pool.drop(server.id);
     log(events::upstream_leaving,
         {{"server", server.id.value()},
-         {"born", std::to_string(server.born.value())},
+         {"born", std::to_string(server.started_at.value())},
          {"origin", "answer"}});
 }
 
@@ -38,11 +38,11 @@
     if (notice.rest)
     {
         const auto now = gateway_state::now();
-        state.choice.note_rest(server.life(),
-                               now + absl::FromChrono(*notice.rest), now);
+        state.choice.set_back_off(server.incarnation(),
+                                  now + absl::FromChrono(*notice.rest), now);
         log(events::upstream_rests,
             {{"server", server.id.value()},
-             {"born", std::to_string(server.born.value())},
+             {"born", std::to_string(server.started_at.value())},
              {"rest_ms", std::to_string(notice.rest->count())}});
     }
 }
--- a/services/gateway/upstream_limiter.cpp
+++ b/services/gateway/upstream_limiter.cpp
@@ -33,7 +33,7 @@
         return;
     }
     auto& quota = m_state.quota.shared();
-    quota.record_answer({server.life(), notice.limit, sent_at},
+    quota.record_answer({server.incarnation(), notice.limit, sent_at},
                         gateway_state::now(), m_state.time_of_day());
     if (quota.limits().has_updates())
     {
@@ -42,18 +42,19 @@
 }
 
 std::optional<double>
-upstream_limiter::limit_of(const upstream_life& server) const
+upstream_limiter::limit_of(const upstream_incarnation& server) const
 {
     const auto& limits = std::as_const(m_state.quota).shared().limits();
     const auto* known = limits.find(server.id);
-    const bool is_current = known != nullptr && !server.is_after(known->server);
+    const bool is_current =
+        known != nullptr && !server.is_newer_than(known->server);
     return is_current ? known->per_second : std::nullopt;
 }
 
 awaitable<std::optional<send_permit>>
 upstream_limiter::acquire(server_entry server)
 {
-    const auto limit = limit_of(server.life());
+    const auto limit = limit_of(server.incarnation());
     if (!limit)
     {
         co_return send_permit(upstream_id());
@@ -67,7 +68,8 @@
     const auto pause =
         pass_over_time(*limit, m_state.quota.shared().fleet_size(),
                        absl::Uniform(m_state.random, 0.0, 1.0));
-    m_state.choice.pass_over(server.life(), gateway_state::now() + pause);
+    m_state.choice.pass_over(server.incarnation(),
+                             gateway_state::now() + pause);
     co_return std::nullopt;
 }
 
@@ -84,7 +86,7 @@
     double per_second = 0;
     for (const auto* server : m_state.servers.usable(service))
     {
-        per_second += limit_of(server->life()).value_or(0);
+        per_second += limit_of(server->incarnation()).value_or(0);
     }
     const auto hosts = static_cast<double>(m_state.quota.shared().fleet_size());
     return m_returns[service].reserve(per_second / hosts, gateway_state::now());
@@ -100,10 +102,11 @@
         m_passed_over.clear();
     }
     m_state.quota.shared().evict_limits(
-        [this](const upstream_life& server)
+        [this](const upstream_incarnation& server)
         {
             const auto* listed = m_state.servers.find(server.id);
-            return listed == nullptr || listed->life().is_after(server);
+            return listed == nullptr ||
+                   listed->incarnation().is_newer_than(server);
         },
         gateway_state::now());
 }
@@ -112,7 +115,7 @@
 {
     const auto known = m_faulty.find(server.id);
     const bool is_logged =
-        known != m_faulty.end() && known->second == server.born;
+        known != m_faulty.end() && known->second == server.started_at;
     if (is_logged)
     {
         return;
@@ -121,10 +124,10 @@
     {
         m_faulty.clear();
     }
-    m_faulty[server.id] = server.born;
+    m_faulty[server.id] = server.started_at;
     log(events::upstream_limit_unreadable,
         {{"server", server.id.value()},
-         {"born", std::to_string(server.born.value())}});
+         {"born", std::to_string(server.started_at.value())}});
 }
 
 void apply_limit_change(gateway_state& state, const limit_update& update)
@@ -138,7 +141,7 @@
     const auto age = state.time_of_day() - record.named_at;
     log(events::upstream_limit_changed,
         {{"server", record.server.id.value()},
-         {"born", std::to_string(record.server.born.value())},
+         {"born", std::to_string(record.server.started_at.value())},
          {"limit", text_of(record.per_second)},
          {"before", text_of(update.before)},
          {"origin", is_own ? "answer" : "peer"},
--- a/services/gateway/upstream_limiter.hpp
+++ b/services/gateway/upstream_limiter.hpp
@@ -37,7 +37,7 @@
     /// @return the limit of this incarnation of an upstream, in requests a
     /// second, if it has one
     [[nodiscard]] std::optional<double>
-    limit_of(const upstream_life& server) const;
+    limit_of(const upstream_incarnation& server) const;
 
     /// Takes a request from an upstream's limit.
     /// @return nothing if there is none left; the upstream is then passed over
--- a/tests/gateway/poison_path_test.cpp
+++ b/tests/gateway/poison_path_test.cpp
@@ -261,7 +261,7 @@
             choice_request request;
             request.service = service_name("service");
             request.facts = &facts;
-            m_state.choice.start({upstream_id("a"), {}}, request, 0);
+            m_state.choice.begin_attempt({upstream_id("a"), {}}, request, 0);
             m_state.suspects.begin(request_print("p"), upstream_id("b"));
             request.is_suspect = true;
             request.suspected_at = m_state.suspects.servers();
--- a/tests/gateway/server_limit_test.cpp
+++ b/tests/gateway/server_limit_test.cpp
@@ -225,7 +225,7 @@
     EXPECT_TRUE(ask("/unsafe/x").starts_with("HTTP/1.1 503 "));
     EXPECT_EQ(limited.arrived(), 0U);
     tell(std::nullopt, 2000);
-    on_loop([&] { m_state.choice.forget(upstream_id("a")); });
+    on_loop([&] { m_state.choice.reset_server(upstream_id("a")); });
     EXPECT_TRUE(ask("/unsafe/x").ends_with("limited"));
 }
 
--- a/tests/ingress/server_choice_test.cpp
+++ b/tests/ingress/server_choice_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include <ingress/retry_allowance.hpp>
+#include <ingress/retry_budget_share.hpp>
 #include <ingress/server_choice.hpp>
 #include <set>
 
@@ -52,7 +52,7 @@
         return m_choice.choose(request, at(seconds));
     }
 
-    /// Sends a prompt to a server, as if it had been chosen.
+    /// Records an attempt at an upstream, as if it had been chosen.
     expected_work start(server_choice& choice, const std::string& server,
                         const request_facts& facts, bool is_engine = true)
     {
@@ -60,7 +60,8 @@
         request.service = is_engine ? engines : calls;
         request.is_engine = is_engine;
         request.facts = &facts;
-        return choice.start({upstream_id(server), {}}, request, cache_tokens);
+        return choice.begin_attempt({upstream_id(server), {}}, request,
+                                    cache_tokens);
     }
 
     server_directory m_directory;
@@ -75,14 +76,14 @@
         m_directory.set(make_server(id, engines));
     }
     const auto first = make_facts("shared", "one");
-    const auto home = choose(first, 0)->id;
-    const auto work = start(m_choice, home.value(), first);
-    m_choice.prompt_read({home, {}}, work.tokens);
-    m_choice.end({home, {}});
+    const auto preferred = choose(first, 0)->id;
+    const auto work = start(m_choice, preferred.value(), first);
+    m_choice.end_prefill({preferred, {}}, work.expected_tokens);
+    m_choice.end_attempt({preferred, {}});
     for (int index = 0; index < 20; ++index)
     {
         EXPECT_EQ(choose(make_facts("shared", std::to_string(index)), 1)->id,
-                  home);
+                  preferred);
     }
 }
 
@@ -109,12 +110,13 @@
     m_directory.set(make_server("a", engines));
     m_directory.set(make_server("b", engines));
     const auto facts = make_facts("hot", "x");
-    const auto home = choose(facts, 0)->id;
+    const auto preferred = choose(facts, 0)->id;
     for (int index = 0; index < 40; ++index)
     {
-        start(m_choice, home.value(), make_facts("hot", std::to_string(index)));
+        start(m_choice, preferred.value(),
+              make_facts("hot", std::to_string(index)));
     }
-    EXPECT_NE(choose(facts, 0)->id, home);
+    EXPECT_NE(choose(facts, 0)->id, preferred);
 }
 
 TEST_F(server_choice_test, what_peers_have_in_flight_counts)
@@ -141,12 +143,13 @@
     EXPECT_EQ(choose({}, 0, false), nullptr);
 }
 
-// A server that starts again holds nothing, has nothing in flight and has not
-// failed; what was sent to its earlier life ends without a trace.
+// A restarted upstream has an empty cache, no requests in flight and no
+// failures. Attempts at its earlier incarnation that end after the restart
+// change nothing of that.
 TEST_F(server_choice_test, nothing_of_an_earlier_life_is_held_against_a_server)
 {
     auto first = make_server("a", calls);
-    first.born = upstream_birth(100);
+    first.started_at = upstream_birth(100);
     m_directory.set(first);
     m_directory.set(make_server("b", calls));
     const request_facts facts;
@@ -155,19 +158,21 @@
     request.facts = &facts;
     for (int count = 0; count < 9; ++count)
     {
-        m_choice.start(first.life(), request, 0);
+        m_choice.begin_attempt(first.incarnation(), request, 0);
     }
-    m_choice.report(first.life(), attempt_outcome::unreachable, at(0));
+    m_choice.record_outcome(first.incarnation(), attempt_outcome::unreachable,
+                            at(0));
     EXPECT_EQ(choose({}, 0, false)->id, upstream_id("b"));
     auto second = first;
-    second.born = upstream_birth(200);
-    ASSERT_EQ(m_directory.set(second), entry_change::new_life);
-    m_choice.forget(second.id);
+    second.started_at = upstream_birth(200);
+    ASSERT_EQ(m_directory.set(second), entry_change::restarted);
+    m_choice.reset_server(second.id);
     EXPECT_EQ(m_choice.total_load(second.id).active, 0);
-    m_choice.end(first.life());
-    m_choice.report(first.life(), attempt_outcome::unreachable, at(0));
+    m_choice.end_attempt(first.incarnation());
+    m_choice.record_outcome(first.incarnation(), attempt_outcome::unreachable,
+                            at(0));
     EXPECT_EQ(m_choice.total_load(second.id).active, 0);
-    m_choice.start({upstream_id("b"), {}}, request, 0);
+    m_choice.begin_attempt({upstream_id("b"), {}}, request, 0);
     EXPECT_EQ(choose({}, 0, false)->id, upstream_id("a"));
 }
 
@@ -175,20 +180,22 @@
 {
     m_directory.set(make_server("a", calls));
     m_directory.set(make_server("b", calls));
-    m_choice.report({upstream_id("a"), {}}, attempt_outcome::unreachable,
-                    at(0));
+    m_choice.record_outcome({upstream_id("a"), {}},
+                            attempt_outcome::unreachable, at(0));
     for (int index = 0; index < 20; ++index)
     {
         EXPECT_EQ(choose({}, 0.1, false)->id, upstream_id("b"));
     }
-    m_choice.report({upstream_id("a"), {}}, attempt_outcome::answered, at(1));
+    m_choice.record_outcome({upstream_id("a"), {}}, attempt_outcome::succeeded,
+                            at(1));
     start(m_choice, "b", {}, false);
     start(m_choice, "b", {}, false);
     EXPECT_EQ(choose({}, 1, false)->id, upstream_id("a"));
 }
 
-// After a hall was cut off, a stream was resumed at another server of the same
-// hall and broke again (docs/OPERATIONS.md, a stream that was broken off).
+// When a hall is cut off, a broken stream must not be resumed at another
+// upstream of that hall, where it breaks again (docs/OPERATIONS.md, a stream
+// that was broken off).
 TEST_F(server_choice_test, a_hall_where_an_attempt_broke_is_avoided)
 {
     m_directory.set(make_server("a", calls));
@@ -211,13 +218,14 @@
 TEST_F(server_choice_test, suspicion_leaves_a_lone_server_in_use)
 {
     m_directory.set(make_server("a", calls));
-    m_choice.report({upstream_id("a"), {}}, attempt_outcome::unreachable,
-                    at(0));
+    m_choice.record_outcome({upstream_id("a"), {}},
+                            attempt_outcome::unreachable, at(0));
     ASSERT_NE(choose({}, 0.1, false), nullptr);
 }
 
-// What each host sends first to the server that the hash names is doubtful;
-// what it has sent there before is not read again.
+// The first prompt with a prefix that this host sends to the rendezvous
+// upstream may be cached there for another host; later ones are cached for this
+// host.
 TEST_F(server_choice_test, tells_certain_from_doubtful_tokens)
 {
     m_directory.set(make_server("a", engines));
@@ -228,7 +236,7 @@
     const auto second = start(m_choice, "a", make_facts("shared", "two"));
     EXPECT_EQ(second.certain_tokens, 1000);
     EXPECT_EQ(second.doubtful_tokens, 0);
-    EXPECT_EQ(second.ahead_tokens, first.tokens);
+    EXPECT_EQ(second.ahead_tokens, first.expected_tokens);
     EXPECT_EQ(second.running, 1);
 }
 
@@ -246,14 +254,14 @@
     request.engine.doubtful_part = 0.5;
     request.engine.peers_part = 0.5;
     request.engine.answer_ms = 800;
-    // 1. Idle: its own part and half of the shared one.
+    // 1. Idle: prefill of the unshared part and half of the shared parts.
     EXPECT_NEAR(m_choice.expected_first_ms(server, request), 30 + 35, 1e-9);
-    // 2. Half of what a peer has told is still ahead.
+    // 2. Half of the tokens that a peer reports is still queued.
     m_choice.set_peer_load(host_id("peer"),
                            {{upstream_id("a"), server_load{1, 4000}}});
     EXPECT_NEAR(m_choice.expected_first_ms(server, request), 30 + 35 + 20,
                 1e-9);
-    // 3. Six run or wait in four places: three answers have to end first.
+    // 3. Six requests run or wait for four slots: three responses end first.
     m_choice.set_peer_load(host_id("peer"),
                            {{upstream_id("a"), server_load{6, 4000}}});
     EXPECT_NEAR(m_choice.expected_first_ms(server, request), 30 + 35 + 600,
@@ -274,7 +282,7 @@
     m_choice.drop_peer(host_id("one"));
 }
 
-/// What each switch of the policy turns off is off.
+/// Switches off one mechanism of the policy at a time.
 class switched_choice_test : public server_choice_test
 {
 protected:
@@ -292,7 +300,7 @@
         return request;
     }
 
-    static constexpr int tries = 60;
+    static constexpr int selections = 60;
 };
 
 TEST_F(switched_choice_test, without_prompts_all_engines_are_alike)
@@ -306,7 +314,7 @@
     request.is_engine = true;
     request.facts = &facts;
     std::set<upstream_id> chosen;
-    for (int index = 0; index < tries; ++index)
+    for (int index = 0; index < selections; ++index)
     {
         chosen.insert(choice.choose(request, at(0))->id);
     }
@@ -328,9 +336,10 @@
     m_directory.set(make_server("a", calls));
     m_directory.set(make_server("b", calls));
     auto choice = make_choice(&decision_policy::passes_over_suspects);
-    choice.report({upstream_id("a"), {}}, attempt_outcome::unreachable, at(0));
+    choice.record_outcome({upstream_id("a"), {}}, attempt_outcome::unreachable,
+                          at(0));
     std::set<upstream_id> chosen;
-    for (int index = 0; index < tries; ++index)
+    for (int index = 0; index < selections; ++index)
     {
         chosen.insert(choice.choose(call(), at(0))->id);
     }
@@ -357,24 +366,24 @@
     m_directory.set(elsewhere);
     auto choice = make_choice(&decision_policy::prefers_own_hall);
     std::set<upstream_id> chosen;
-    for (int index = 0; index < tries; ++index)
+    for (int index = 0; index < selections; ++index)
     {
         chosen.insert(choice.choose(call(), at(0))->id);
     }
     EXPECT_EQ(chosen.size(), 2);
 }
 
-int retries_of_fleet(int machines, int requests)
+int retries_of_fleet(int hosts, int requests)
 {
     int retries = 0;
-    for (int machine = 0; machine < machines; ++machine)
+    for (int host = 0; host < hosts; ++host)
     {
-        retry_allowance allowance({0.2, 50, 12});
-        allowance.set_machines(static_cast<std::size_t>(machines));
+        retry_budget_share share({0.2, 50, 12});
+        share.set_hosts(static_cast<std::size_t>(hosts));
         for (int request = 0; request < requests; ++request)
         {
-            allowance.count_request(calls);
-            retries += allowance.try_take(calls) ? 1 : 0;
+            share.count_request(calls);
+            retries += share.try_take(calls) ? 1 : 0;
         }
     }
     return retries;
@@ -391,14 +400,14 @@
 TEST_F(server_choice_test, a_rest_holds_whatever_else_is_heard_of_the_server)
 {
     m_directory.set(make_server("a", calls));
-    const upstream_life life{upstream_id("a"), {}};
+    const upstream_incarnation incarnation{upstream_id("a"), {}};
     const request_facts facts;
-    m_choice.note_rest(life, at(3), at(0));
-    m_choice.note_rest(life, at(1), at(0.1));
+    m_choice.set_back_off(incarnation, at(3), at(0));
+    m_choice.set_back_off(incarnation, at(1), at(0.1));
     EXPECT_EQ(choose(facts, 0.2, false), nullptr);
-    m_choice.report(life, attempt_outcome::answered, at(0.3));
+    m_choice.record_outcome(incarnation, attempt_outcome::succeeded, at(0.3));
     EXPECT_EQ(choose(facts, 0.4, false), nullptr);
-    m_directory.remove(life.id);
+    m_directory.remove(incarnation.id);
     m_choice.drop_unlisted();
     m_directory.set(make_server("a", calls));
     EXPECT_EQ(choose(facts, 2.9, false), nullptr);
@@ -408,16 +417,16 @@
 TEST_F(server_choice_test, a_server_that_starts_again_is_not_resting)
 {
     auto entry = make_server("a", calls);
-    entry.born = upstream_birth(100);
+    entry.started_at = upstream_birth(100);
     m_directory.set(entry);
-    const auto earlier = entry.life();
-    m_choice.note_rest(earlier, at(3), at(0));
-    entry.born = upstream_birth(200);
+    const auto earlier = entry.incarnation();
+    m_choice.set_back_off(earlier, at(3), at(0));
+    entry.started_at = upstream_birth(200);
     m_directory.set(entry);
-    m_choice.forget(entry.id);
+    m_choice.reset_server(entry.id);
     EXPECT_NE(choose({}, 1, false), nullptr);
-    m_choice.note_rest(earlier, at(3), at(0));
-    EXPECT_NE(choose({}, 1, false), nullptr) << "of the life before";
+    m_choice.set_back_off(earlier, at(3), at(0));
+    EXPECT_NE(choose({}, 1, false), nullptr) << "of the earlier incarnation";
 }
 
 TEST_F(server_choice_test, says_when_the_first_of_all_that_rest_is_over)
@@ -425,46 +434,46 @@
     m_directory.set(make_server("a", calls));
     m_directory.set(make_server("b", calls));
     m_directory.set(make_server("c", calls, true));
-    m_choice.note_rest({upstream_id("a"), {}}, at(3), at(0));
-    EXPECT_EQ(m_choice.all_rest_until(calls, at(0)), std::nullopt);
-    m_choice.note_rest({upstream_id("b"), {}}, at(2), at(0));
-    EXPECT_EQ(m_choice.all_rest_until(calls, at(0)), at(2));
-    EXPECT_EQ(m_choice.all_rest_until(calls, at(2)), std::nullopt);
-    EXPECT_EQ(m_choice.all_rest_until(engines, at(0)), std::nullopt);
+    m_choice.set_back_off({upstream_id("a"), {}}, at(3), at(0));
+    EXPECT_EQ(m_choice.earliest_back_off_end(calls, at(0)), std::nullopt);
+    m_choice.set_back_off({upstream_id("b"), {}}, at(2), at(0));
+    EXPECT_EQ(m_choice.earliest_back_off_end(calls, at(0)), at(2));
+    EXPECT_EQ(m_choice.earliest_back_off_end(calls, at(2)), std::nullopt);
+    EXPECT_EQ(m_choice.earliest_back_off_end(engines, at(0)), std::nullopt);
 }
 
-// On 86 machines the slack had been divided by twelve (docs/findings): retries
-// that come at once, long after the requests that filled each share.
+// Dividing the slack by 12 on a fleet of 86 hosts lets it exceed the retry
+// budget (docs/findings): the retries come in one burst, long after the
+// requests that filled the share of each host.
 TEST(retry_allowance, the_slack_is_divided_by_a_large_fleet_too)
 {
-    constexpr int machines = 86;
+    constexpr int hosts = 86;
     constexpr double slack = 212;
     int retries = 0;
-    for (int machine = 0; machine < machines; ++machine)
+    for (int host = 0; host < hosts; ++host)
     {
-        retry_allowance allowance({0.2, slack, 12});
-        allowance.set_machines(machines);
+        retry_budget_share share({0.2, slack, 12});
+        share.set_hosts(hosts);
         for (int request = 0; request < 1000; ++request)
         {
-            allowance.count_request(calls);
+            share.count_request(calls);
         }
-        while (allowance.try_take(calls))
+        while (share.try_take(calls))
         {
             ++retries;
         }
     }
     EXPECT_LE(retries, slack);
-    EXPECT_GE(retries, machines);
+    EXPECT_GE(retries, hosts);
 }
 
 TEST(prompt_memory, counts_only_an_unbroken_beginning)
 {
-    prompt_memory memory(5000);
-    memory.note({{"a", 1000}, {"b", 1000}});
-    EXPECT_EQ(memory.cached_tokens({{"a", 1000}, {"x", 10}, {"b", 1000}}),
-              1000);
-    memory.note({{"c", 4000}});
-    EXPECT_EQ(memory.cached_tokens({{"a", 1000}}), 0);
+    prefix_cache_estimate cache(5000);
+    cache.add_prompt({{"a", 1000}, {"b", 1000}});
+    EXPECT_EQ(cache.cached_tokens({{"a", 1000}, {"x", 10}, {"b", 1000}}), 1000);
+    cache.add_prompt({{"c", 4000}});
+    EXPECT_EQ(cache.cached_tokens({{"a", 1000}}), 0);
 }
 
 } // namespace
--- a/tests/ingress/server_directory_test.cpp
+++ b/tests/ingress/server_directory_test.cpp
@@ -79,88 +79,93 @@
     EXPECT_FALSE(directory.is_usable(upstream_id("a")));
 }
 
-server_entry make_life(std::int64_t born, std::int64_t sequence,
-                       bool is_draining = false)
+server_entry make_incarnation(std::int64_t started_ms, std::int64_t sequence,
+                              bool is_draining = false)
 {
     auto entry = make_entry(sequence, is_draining);
-    entry.born = upstream_birth(born);
+    entry.started_at = upstream_birth(started_ms);
     return entry;
 }
 
 TEST(server_directory, one_that_starts_again_is_used_at_once)
 {
     server_directory directory;
-    directory.set(make_life(100, 40));
-    directory.set(make_life(100, 41, true));
-    EXPECT_EQ(directory.set(make_life(200, 1)), entry_change::new_life);
+    directory.set(make_incarnation(100, 40));
+    directory.set(make_incarnation(100, 41, true));
+    EXPECT_EQ(directory.set(make_incarnation(200, 1)), entry_change::restarted);
     EXPECT_TRUE(directory.is_usable(upstream_id("a")));
     directory.remove(upstream_id("a"));
-    EXPECT_EQ(directory.set(make_life(300, 1)), entry_change::new_life);
+    EXPECT_EQ(directory.set(make_incarnation(300, 1)), entry_change::restarted);
     EXPECT_TRUE(directory.is_usable(upstream_id("a")));
 }
 
 TEST(server_directory, an_earlier_life_takes_no_later_ones_place)
 {
     server_directory directory;
-    directory.set(make_life(200, 1));
-    EXPECT_EQ(directory.set(make_life(100, 41, true)), entry_change::none);
+    directory.set(make_incarnation(200, 1));
+    EXPECT_EQ(directory.set(make_incarnation(100, 41, true)),
+              entry_change::none);
     EXPECT_TRUE(directory.is_usable(upstream_id("a")));
     directory.remove(upstream_id("a"));
-    EXPECT_EQ(directory.set(make_life(100, 42)), entry_change::none);
+    EXPECT_EQ(directory.set(make_incarnation(100, 42)), entry_change::none);
     EXPECT_FALSE(directory.is_usable(upstream_id("a")));
 }
 
 TEST(server_directory, a_record_without_a_birth_is_of_the_life_that_is_known)
 {
     server_directory directory;
-    directory.set(make_life(100, 4, true));
-    EXPECT_EQ(directory.set(make_life(0, 5)), entry_change::none);
+    directory.set(make_incarnation(100, 4, true));
+    EXPECT_EQ(directory.set(make_incarnation(0, 5)), entry_change::none);
     EXPECT_FALSE(directory.is_usable(upstream_id("a")));
-    EXPECT_EQ(directory.set(make_life(90, 6)), entry_change::none);
-    EXPECT_EQ(directory.set(make_life(200, 1)), entry_change::new_life);
+    EXPECT_EQ(directory.set(make_incarnation(90, 6)), entry_change::none);
+    EXPECT_EQ(directory.set(make_incarnation(200, 1)), entry_change::restarted);
 }
 
 TEST(server_directory, a_life_that_says_itself_that_it_leaves_stays_so)
 {
     server_directory directory;
-    directory.set(make_life(100, 4));
-    const upstream_life life{make_life(100, 4).id, upstream_birth(100)};
-    EXPECT_TRUE(directory.note_leaving(life));
-    EXPECT_FALSE(directory.note_leaving(life)) << "no news";
-    directory.set(make_life(100, 5));
-    EXPECT_FALSE(directory.is_usable(life.id)) << "the list is behind";
-    EXPECT_EQ(directory.set(make_life(200, 1)), entry_change::new_life);
-    EXPECT_TRUE(directory.is_usable(life.id));
-    EXPECT_FALSE(directory.note_leaving(life)) << "of the life before";
-    EXPECT_TRUE(directory.is_usable(life.id));
+    directory.set(make_incarnation(100, 4));
+    const upstream_incarnation server{make_incarnation(100, 4).id,
+                                      upstream_birth(100)};
+    EXPECT_TRUE(directory.mark_draining(server));
+    EXPECT_FALSE(directory.mark_draining(server)) << "already draining";
+    directory.set(make_incarnation(100, 5));
+    EXPECT_FALSE(directory.is_usable(server.id)) << "the list is behind";
+    EXPECT_EQ(directory.set(make_incarnation(200, 1)), entry_change::restarted);
+    EXPECT_TRUE(directory.is_usable(server.id));
+    EXPECT_FALSE(directory.mark_draining(server))
+        << "of the earlier incarnation";
+    EXPECT_TRUE(directory.is_usable(server.id));
 }
 
 TEST(server_directory, one_that_says_that_it_leaves_while_unlisted_stays_away)
 {
     server_directory directory;
-    directory.set(make_life(100, 4));
-    const upstream_life life{make_life(100, 4).id, upstream_birth(100)};
-    directory.remove(life.id);
-    EXPECT_FALSE(directory.note_leaving(life));
-    EXPECT_EQ(directory.set(make_life(100, 9)), entry_change::none);
-    EXPECT_FALSE(directory.is_usable(life.id));
-    EXPECT_FALSE(directory.note_leaving({upstream_id("unknown"), {}}));
+    directory.set(make_incarnation(100, 4));
+    const upstream_incarnation server{make_incarnation(100, 4).id,
+                                      upstream_birth(100)};
+    directory.remove(server.id);
+    EXPECT_FALSE(directory.mark_draining(server));
+    EXPECT_EQ(directory.set(make_incarnation(100, 9)), entry_change::none);
+    EXPECT_FALSE(directory.is_usable(server.id));
+    EXPECT_FALSE(directory.mark_draining({upstream_id("unknown"), {}}));
 }
 
 TEST(server_directory, another_writers_record_names_no_server_to_use)
 {
     server_directory directory;
     EXPECT_FALSE(directory.withhold(upstream_id("a")));
-    directory.set(make_life(100, 4));
+    directory.set(make_incarnation(100, 4));
     EXPECT_TRUE(directory.withhold(upstream_id("a")));
     EXPECT_FALSE(directory.withhold(upstream_id("a")));
     EXPECT_FALSE(directory.is_usable(upstream_id("a")));
-    // Its own record, again.
-    EXPECT_EQ(directory.set(make_life(100, 4)), entry_change::changed);
+    // The upstream writes its own record again.
+    EXPECT_EQ(directory.set(make_incarnation(100, 4)), entry_change::changed);
     EXPECT_TRUE(directory.is_usable(upstream_id("a")));
 }
 
-// Homes of prompts, choices and orders all go by what is usable.
+// Rendezvous hashing, selection and scaling all use the list of usable
+// upstreams, so an unjudged version must not be in it.
 TEST(server_directory, the_target_of_a_roll_out_is_not_usable)
 {
     server_directory directory;
--- a/tests/platform/formats_test.cpp
+++ b/tests/platform/formats_test.cpp
@@ -33,7 +33,7 @@
     EXPECT_EQ(facts.id.value(), "abc");
     EXPECT_EQ(facts.deadline, std::chrono::milliseconds(8000));
     EXPECT_EQ(facts.prompt_tokens, 1460);
-    EXPECT_EQ(facts.answer_tokens, 80);
+    EXPECT_EQ(facts.max_output_tokens, 80);
     ASSERT_EQ(facts.prompt.size(), 2);
     EXPECT_EQ(facts.prompt[1].id, "91bd");
     EXPECT_EQ(facts.prompt[1].tokens, 410);
@@ -183,8 +183,8 @@
     ASSERT_EQ(read.routes.size(), 2);
     EXPECT_EQ(read.routes[0].kind, request_kind::streaming);
     EXPECT_EQ(read.routes[0].targets.size(), 2);
-    EXPECT_TRUE(may_repeat(read.routes[0]));
-    EXPECT_FALSE(may_repeat(read.routes[1])) << "an unknown kind";
+    EXPECT_TRUE(allows_repeats(read.routes[0]));
+    EXPECT_FALSE(allows_repeats(read.routes[1])) << "an unknown kind";
     EXPECT_TRUE(read.services[0].is_engine);
     EXPECT_EQ(read.services[0].scaling.boot_time,
               std::chrono::milliseconds(4000));
@@ -272,7 +272,7 @@
     EXPECT_TRUE(entry.is_spot);
     EXPECT_EQ(entry.slots, 6);
     EXPECT_EQ(entry.sequence, 7);
-    EXPECT_EQ(entry.born, upstream_birth(1764720000123));
+    EXPECT_EQ(entry.started_at, upstream_birth(1764720000123));
 }
 
 // One field of a good entry in another writer's way: it names no server.
--- a/tests/scaling/scaling_test.cpp
+++ b/tests/scaling/scaling_test.cpp
@@ -22,8 +22,8 @@
 {
     scaling_limits limits;
     limits.is_scalable = true;
-    limits.least = 1;
-    limits.most = 6;
+    limits.min_servers = 1;
+    limits.max_servers = 6;
     limits.spot_price = 0.22;
     limits.hall_prices = {{cheap, 0.85}, {middle, 1.0}, {dear, 1.2}};
     return limits;
@@ -71,7 +71,7 @@
 RC_GTEST_PROP(scale_planner, bears_the_loss_of_any_hall_at_the_least_need, ())
 {
     auto limits = make_limits();
-    limits.most = 1000;
+    limits.max_servers = 1000;
     limits.spot_price = *rc::gen::inRange(5, 95) / 100.0;
     server_need need;
     need.least = *rc::gen::inRange(1, 200);
@@ -84,7 +84,7 @@
 RC_GTEST_PROP(scale_planner, never_costs_more_than_on_demand_alone, ())
 {
     auto limits = make_limits();
-    limits.most = 1000;
+    limits.max_servers = 1000;
     limits.hall_prices = {{cheap, 1}, {middle, 1}, {dear, 1}};
     limits.spot_price = *rc::gen::inRange(5, 95) / 100.0;
     server_need need;
--- a/tests/upstream_limits/limit_table_test.cpp
+++ b/tests/upstream_limits/limit_table_test.cpp
@@ -13,8 +13,8 @@
 {
 
 const upstream_id server("a");
-const upstream_life first{server, upstream_birth(1)};
-const upstream_life second{server, upstream_birth(2)};
+const upstream_incarnation first{server, upstream_birth(1)};
+const upstream_incarnation second{server, upstream_birth(2)};
 
 absl::Time at(double seconds)
 {
@@ -70,10 +70,10 @@
 {
     limit_table table;
     table.record_answer({first, 1.0, at(0)}, at(1), at(1));
-    const auto is_gone = [](const upstream_life&) { return true; };
+    const auto is_gone = [](const upstream_incarnation&) { return true; };
     EXPECT_TRUE(table.evict(is_gone, at(10)).empty()) << "it may be listed yet";
     EXPECT_TRUE(
-        table.evict([](const upstream_life&) { return false; }, at(1000))
+        table.evict([](const upstream_incarnation&) { return false; }, at(1000))
             .empty());
     EXPECT_EQ(table.evict(is_gone, at(1000)), std::vector{server});
     EXPECT_EQ(table.limited(), 0U);
@@ -110,7 +110,8 @@
         rc::gen::exec(any_record));
     for (auto& record : records)
     {
-        record.server.born = std::max(record.server.born, upstream_birth(1));
+        record.server.started_at =
+            std::max(record.server.started_at, upstream_birth(1));
     }
     limit_table one;
     for (const auto& record : records)
@@ -136,7 +137,7 @@
     ASSERT_EQ(read->size(), 2U);
     EXPECT_EQ(read->front().per_second, 0.5);
     EXPECT_EQ(read->front().named_at, named.named_at);
-    EXPECT_EQ(read->back().server.born, second.born);
+    EXPECT_EQ(read->back().server.started_at, second.started_at);
     EXPECT_FALSE(read->back().per_second);
     EXPECT_FALSE(decode_limits("no datagram"));
 }
--- a/tests/upstream_limits/limit_world.hpp
+++ b/tests/upstream_limits/limit_world.hpp
@@ -22,8 +22,8 @@
 inline constexpr absl::Duration lead = absl::Seconds(8);
 
 /// The upstream that names limits.
-inline const upstream_life limited_upstream{upstream_id("limited"),
-                                            upstream_birth(1)};
+inline const upstream_incarnation limited_upstream{upstream_id("limited"),
+                                                   upstream_birth(1)};
 
 /// One request that waits for its part of the limit.
 struct waiting_claim
