--- a/tests/ingress/server_choice_test.cpp
+++ b/tests/ingress/server_choice_test.cpp
@@ -87,7 +87,7 @@
     }
 }
 
-TEST_F(server_choice_test, machines_agree_on_a_prompt_that_nobody_has_sent)
+TEST_F(server_choice_test, hosts_agree_on_a_prompt_that_nobody_has_sent)
 {
     for (const auto* id : {"a", "b", "c", "d"})
     {
@@ -146,7 +146,7 @@
 // A restarted upstream has an empty cache, no requests in flight and no
 // failures. Attempts at its earlier incarnation that end after the restart
 // change nothing of that.
-TEST_F(server_choice_test, nothing_of_an_earlier_life_is_held_against_a_server)
+TEST_F(server_choice_test, a_restarted_server_loses_the_state_of_earlier_ones)
 {
     auto first = make_server("a", calls);
     first.started_at = upstream_birth(100);
@@ -226,7 +226,7 @@
 // The first prompt with a prefix that this host sends to the rendezvous
 // upstream may be cached there for another host; later ones are cached for this
 // host.
-TEST_F(server_choice_test, tells_certain_from_doubtful_tokens)
+TEST_F(server_choice_test, separates_certain_from_doubtful_tokens)
 {
     m_directory.set(make_server("a", engines));
     const auto first = start(m_choice, "a", make_facts("shared", "one"));
@@ -240,7 +240,7 @@
     EXPECT_EQ(second.running, 1);
 }
 
-TEST_F(server_choice_test, expects_a_first_event_by_places_and_by_prompts)
+TEST_F(server_choice_test, expects_a_first_event_by_slots_and_by_prompts)
 {
     m_directory.set(make_server("a", engines));
     const auto& server = *m_directory.find(upstream_id("a"));
@@ -389,7 +389,7 @@
     return retries;
 }
 
-TEST(retry_allowance, all_machines_together_stay_within_the_budget)
+TEST(retry_budget_share, all_hosts_together_stay_within_the_budget)
 {
     constexpr int requests = 1000;
     const auto retries = retries_of_fleet(12, requests);
@@ -397,7 +397,7 @@
     EXPECT_GE(retries, 0.1 * requests * 12);
 }
 
-TEST_F(server_choice_test, a_rest_holds_whatever_else_is_heard_of_the_server)
+TEST_F(server_choice_test, a_back_off_outlasts_responses_and_unlisting)
 {
     m_directory.set(make_server("a", calls));
     const upstream_incarnation incarnation{upstream_id("a"), {}};
@@ -414,7 +414,7 @@
     EXPECT_NE(choose(facts, 3, false), nullptr);
 }
 
-TEST_F(server_choice_test, a_server_that_starts_again_is_not_resting)
+TEST_F(server_choice_test, a_restarted_server_has_no_back_off)
 {
     auto entry = make_server("a", calls);
     entry.started_at = upstream_birth(100);
@@ -429,7 +429,7 @@
     EXPECT_NE(choose({}, 1, false), nullptr) << "of the earlier incarnation";
 }
 
-TEST_F(server_choice_test, says_when_the_first_of_all_that_rest_is_over)
+TEST_F(server_choice_test, finds_the_earliest_end_if_all_servers_back_off)
 {
     m_directory.set(make_server("a", calls));
     m_directory.set(make_server("b", calls));
@@ -445,7 +445,7 @@
 // Dividing the slack by 12 on a fleet of 86 hosts lets it exceed the retry
 // budget (docs/findings): the retries come in one burst, long after the
 // requests that filled the share of each host.
-TEST(retry_allowance, the_slack_is_divided_by_a_large_fleet_too)
+TEST(retry_budget_share, the_slack_is_divided_by_a_large_fleet_too)
 {
     constexpr int hosts = 86;
     constexpr double slack = 212;
@@ -467,7 +467,7 @@
     EXPECT_GE(retries, hosts);
 }
 
-TEST(prompt_memory, counts_only_an_unbroken_beginning)
+TEST(prefix_cache_estimate, counts_only_a_cached_prefix)
 {
     prefix_cache_estimate cache(5000);
     cache.add_prompt({{"a", 1000}, {"b", 1000}});
--- a/tests/ingress/server_directory_test.cpp
+++ b/tests/ingress/server_directory_test.cpp
@@ -51,7 +51,7 @@
     EXPECT_FALSE(directory.is_usable(upstream_id("a")));
 }
 
-TEST(server_directory, a_late_record_of_one_that_said_nothing_is_told_by_number)
+TEST(server_directory, a_late_record_after_removal_is_found_by_sequence)
 {
     server_directory directory;
     directory.set(make_entry(4));
@@ -99,7 +99,7 @@
     EXPECT_TRUE(directory.is_usable(upstream_id("a")));
 }
 
-TEST(server_directory, an_earlier_life_takes_no_later_ones_place)
+TEST(server_directory, an_earlier_incarnation_never_replaces_a_later_one)
 {
     server_directory directory;
     directory.set(make_incarnation(200, 1));
@@ -111,7 +111,7 @@
     EXPECT_FALSE(directory.is_usable(upstream_id("a")));
 }
 
-TEST(server_directory, a_record_without_a_birth_is_of_the_life_that_is_known)
+TEST(server_directory, a_record_without_start_time_is_of_the_known_incarnation)
 {
     server_directory directory;
     directory.set(make_incarnation(100, 4, true));
@@ -121,7 +121,7 @@
     EXPECT_EQ(directory.set(make_incarnation(200, 1)), entry_change::restarted);
 }
 
-TEST(server_directory, a_life_that_says_itself_that_it_leaves_stays_so)
+TEST(server_directory, one_that_announces_that_it_drains_keeps_draining)
 {
     server_directory directory;
     directory.set(make_incarnation(100, 4));
@@ -138,7 +138,7 @@
     EXPECT_TRUE(directory.is_usable(server.id));
 }
 
-TEST(server_directory, one_that_says_that_it_leaves_while_unlisted_stays_away)
+TEST(server_directory, one_that_announces_draining_while_unlisted_stays_away)
 {
     server_directory directory;
     directory.set(make_incarnation(100, 4));
@@ -151,7 +151,7 @@
     EXPECT_FALSE(directory.mark_draining({upstream_id("unknown"), {}}));
 }
 
-TEST(server_directory, another_writers_record_names_no_server_to_use)
+TEST(server_directory, another_writers_record_makes_the_server_unusable)
 {
     server_directory directory;
     EXPECT_FALSE(directory.withhold(upstream_id("a")));
--- a/tests/ingress/server_incarnations_test.cpp
+++ b/tests/ingress/server_incarnations_test.cpp
@@ -136,7 +136,7 @@
 // After each record, and after earlier records that arrive late from readers
 // and peers, the upstream is usable exactly if its newest incarnation may be
 // used.
-RC_GTEST_PROP(server_lives, only_the_newest_life_decides, ())
+RC_GTEST_PROP(server_incarnations, only_the_newest_incarnation_decides, ())
 {
     server_directory directory;
     std::vector<listed_record> applied;
