--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -139,7 +139,8 @@
         note_open(server, end, began);
         return;
     }
-    const completed_response given{{server.id, server.born}, m_state.self};
+    const completed_response given{{server.id, server.started_at},
+                                   m_state.self};
     const auto now = gateway_state::now();
     if (m_suspect)
     {
