--- a/libraries/membership/gossip_message.hpp
+++ b/libraries/membership/gossip_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Messages of the membership protocol.
+/// Messages of the SWIM membership protocol.
 #pragma once
 
 #include "member.hpp"
@@ -17,22 +17,22 @@
 {
     enum class kind
     {
-        ping,          ///< answer with `ack`
-        ack,           ///< answer to the `ping` of the same sequence
-        indirect_ping, ///< ping `target` and pass its answer on
-        sync_request,  ///< answer with all that is known
-        sync_reply,
+        ping,          ///< asks for an `ack`
+        ack,           ///< response to the `ping` of the same sequence
+        indirect_ping, ///< asks to ping `target` and forward its `ack`
+        sync_request,  ///< asks for the full member list
+        sync_reply,    ///< a part of the full member list
     };
 
-    kind what = kind::ping;
-    std::uint64_t sequence = 0;
-    host_id target; ///< of an indirect ping
+    kind type = kind::ping;
+    std::uint64_t sequence = 0; ///< pairs a request with its response
+    host_id target;             ///< of an indirect ping
     member sender;
-    std::vector<member> updates;
+    std::vector<member> updates;  ///< piggybacked membership updates
     std::vector<host_id> leaving; ///< hosts of the platform that are leaving
 };
 
-/// A message and where it goes.
+/// A message and its destination.
 struct outgoing_gossip
 {
     std::string address; ///< IP:PORT
--- a/libraries/membership/member.cpp
+++ b/libraries/membership/member.cpp
@@ -15,8 +15,8 @@
 
 bool member::overrides(const member& other) const
 {
-    // A host that has ended stays ended for that incarnation, whatever it
-    // refuted before.
+    // The state `left` is final for an incarnation, so it ranks above any
+    // refutation.
     const auto rank = [](const member& item)
     {
         const bool has_left = item.state == member_state::left;
--- a/libraries/membership/member.hpp
+++ b/libraries/membership/member.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What one entry host knows of another.
+/// Membership state of an entry host, as known to another.
 #pragma once
 
 #include <base/identifiers.hpp>
@@ -9,14 +9,14 @@
 namespace daleshelf
 {
 
-/// State of an entry host; a later one overrides an earlier one of the same
-/// incarnation and refutation.
+/// State of an entry host. Within one incarnation and refutation, a state
+/// overrides those before it in this list.
 enum class member_state
 {
     alive,
-    suspect, ///< has not answered; may yet refute
-    dead,    ///< has not answered for long
-    left,    ///< has ended by itself; final for the incarnation
+    suspect, ///< did not respond to pings; can still refute
+    dead,    ///< did not refute within the suspicion time
+    left,    ///< has shut down; final for the incarnation
 };
 
 /// @return the state's name in the API
@@ -28,13 +28,13 @@
     host_id id;
     hall_id hall;
     std::string address;         ///< IP:PORT for peers
-    incarnation started;         ///< a later start has a higher one
-    std::int64_t refutation = 0; ///< raised by the host itself when suspected
+    incarnation started;         ///< higher after each restart
+    std::int64_t refutation = 0; ///< raised by the host when it is suspected
     member_state state = member_state::alive;
-    log_offset applied; ///< first offset that it has not applied
+    log_offset applied; ///< first log offset that it has not applied
     bool is_draining = false;
 
-    /// @return whether this says something newer than `other` of a host
+    /// @return whether this is a newer state of the same host than `other`
     [[nodiscard]] bool overrides(const member& other) const;
 };
 
--- a/libraries/membership/update_queue.hpp
+++ b/libraries/membership/update_queue.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What has changed and has not yet been passed on often enough.
+/// Queue of updates to disseminate by gossip.
 #pragma once
 
 #include <base/identifiers.hpp>
@@ -10,47 +10,49 @@
 namespace daleshelf
 {
 
-/// Picks the least often sent news first, a bounded number at a time, so that
-/// a message's size does not depend on the size of the fleet.
-/// @tparam Key what the news is about
+/// Returns the least often sent updates first, a bounded number at a time, so
+/// that the size of a message does not depend on the size of the fleet.
+/// @tparam Key identifies the subject of an update
 template <typename Key>
 class update_queue
 {
 public:
-    /// News about `key`: sent afresh, whatever was sent before.
+    /// Adds an update about `key`, or restarts its transmissions.
     void add(const Key& key)
     {
-        m_sent[key] = 0;
+        m_transmissions[key] = 0;
     }
 
-    /// @param most number of keys at the most
-    /// @param transmissions after so many a key is dropped
-    /// @return keys to send now; they count as sent
-    std::vector<Key> take(std::size_t most, int transmissions)
+    /// Takes the keys to send next and counts one transmission of each.
+    /// @param limit maximum number of keys
+    /// @param max_transmissions number of transmissions after which a key is
+    ///        removed
+    /// @return keys to send now
+    std::vector<Key> take(std::size_t limit, int max_transmissions)
     {
         std::multimap<int, Key> by_sent;
-        for (const auto& [key, sent] : m_sent)
+        for (const auto& [key, sent] : m_transmissions)
         {
             by_sent.emplace(sent, key);
         }
         std::vector<Key> taken;
         for (const auto& [sent, key] : by_sent)
         {
-            if (taken.size() >= most)
+            if (taken.size() >= limit)
             {
                 break;
             }
             taken.push_back(key);
-            if (++m_sent[key] >= transmissions)
+            if (++m_transmissions[key] >= max_transmissions)
             {
-                m_sent.erase(key);
+                m_transmissions.erase(key);
             }
         }
         return taken;
     }
 
 private:
-    std::map<Key, int> m_sent;
+    std::map<Key, int> m_transmissions;
 };
 
 } // namespace daleshelf
--- a/libraries/protocol/gossip_codec.cpp
+++ b/libraries/protocol/gossip_codec.cpp
@@ -42,7 +42,7 @@
 protocol::Gossip to_wire(const gossip_message& message)
 {
     protocol::Gossip wire;
-    wire.set_kind(static_cast<int>(message.what));
+    wire.set_kind(static_cast<int>(message.type));
     wire.set_sequence(message.sequence);
     wire.set_target(message.target.value());
     *wire.mutable_sender() = to_wire(message.sender);
@@ -61,7 +61,7 @@
 {
     gossip_message message;
     const int last = static_cast<int>(gossip_message::kind::sync_reply);
-    message.what =
+    message.type =
         static_cast<gossip_message::kind>(std::clamp(wire.kind(), 0, last));
     message.sequence = wire.sequence();
     message.target = host_id(wire.target());
--- a/services/daleshelfd/peer_service.cpp
+++ b/services/daleshelfd/peer_service.cpp
@@ -157,7 +157,8 @@
 
 void peer_service::ask(const std::vector<host_id>& hosts)
 {
-    m_control.post([this, hosts] { send_all(m_membership.ask(hosts)); });
+    m_control.post([this, hosts]
+                   { send_all(m_membership.request_states(hosts)); });
 }
 
 void peer_service::set_applied(log_offset applied)
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Hosts that exchange messages at once, but for those that are cut off.
+/// Hosts that deliver messages without delay, except across a partition.
 class small_fleet
 {
 public:
@@ -30,10 +30,10 @@
         self.hall = hall_id("hall-" + std::to_string(number % 3));
         self.address = address(number);
         self.started = incarnation(started);
-        auto made = std::make_unique<membership>(
+        auto created = std::make_unique<membership>(
             self, membership_options(), static_cast<std::uint64_t>(number));
-        made->set_seeds({address(0), address(1)});
-        m_hosts[self.address] = std::move(made);
+        created->set_seeds({address(0), address(1)});
+        m_hosts[self.address] = std::move(created);
     }
 
     static std::string address(int number)
@@ -51,13 +51,13 @@
         m_hosts.erase(address(number));
     }
 
-    /// Cuts the given hosts off from all others.
-    void cut_off(const std::set<int>& numbers)
+    /// Partitions the given hosts from all others.
+    void partition(const std::set<int>& numbers)
     {
-        m_cut_off.clear();
+        m_partition.clear();
         for (const int number : numbers)
         {
-            m_cut_off.insert(address(number));
+            m_partition.insert(address(number));
         }
     }
 
@@ -83,7 +83,7 @@
 
     std::size_t largest_message() const
     {
-        return m_largest;
+        return m_largest_message;
     }
 
     std::int64_t messages() const
@@ -92,9 +92,9 @@
     }
 
 private:
-    bool is_cut(const std::string& one, const std::string& other) const
+    bool is_partitioned(const std::string& one, const std::string& other) const
     {
-        return m_cut_off.contains(one) != m_cut_off.contains(other);
+        return m_partition.contains(one) != m_partition.contains(other);
     }
 
     void deliver(const std::string& from,
@@ -103,12 +103,13 @@
         for (const auto& item : messages)
         {
             ++m_messages;
-            if (item.message.what != gossip_message::kind::sync_reply)
+            if (item.message.type != gossip_message::kind::sync_reply)
             {
-                m_largest = std::max(m_largest, item.message.updates.size());
+                m_largest_message =
+                    std::max(m_largest_message, item.message.updates.size());
             }
             const auto target = m_hosts.find(item.address);
-            if (target == m_hosts.end() || is_cut(from, item.address))
+            if (target == m_hosts.end() || is_partitioned(from, item.address))
             {
                 continue;
             }
@@ -118,9 +119,9 @@
     }
 
     std::map<std::string, std::unique_ptr<membership>> m_hosts;
-    std::set<std::string> m_cut_off;
+    std::set<std::string> m_partition;
     absl::Time m_now = absl::UnixEpoch();
-    std::size_t m_largest = 0;
+    std::size_t m_largest_message = 0;
     std::int64_t m_messages = 0;
 };
 
@@ -151,11 +152,11 @@
 {
     small_fleet fleet(9);
     fleet.run(absl::Seconds(30));
-    fleet.cut_off({0, 3, 6});
+    fleet.partition({0, 3, 6});
     fleet.run(absl::Seconds(30));
     EXPECT_EQ(member_state::dead, fleet.state(1, 0));
     EXPECT_EQ(member_state::alive, fleet.state(3, 0));
-    fleet.cut_off({});
+    fleet.partition({});
     fleet.run(absl::Seconds(60));
     for (int one = 1; one < 9; ++one)
     {
@@ -198,7 +199,8 @@
     fleet.run(absl::Seconds(60));
     const auto each = static_cast<double>(fleet.messages() - before) / 60 / 60;
     EXPECT_LT(each, 8);
-    // The options' limit and what answers a sender that is out of date.
+    // The configured limit, plus the update for a sender whose state is
+    // outdated.
     EXPECT_LE(fleet.largest_message(),
               membership_options().updates_per_message + 1);
 }
