--- a/libraries/peers/count_table.cpp
+++ b/libraries/peers/count_table.cpp
@@ -5,22 +5,22 @@
 namespace daleshelf
 {
 
-void count_table::merge(const counting_start& start,
+void count_table::merge(const host_incarnation& origin,
                         const counts_by_window& counts)
 {
     for (const auto& [window, by_tenant] : counts)
     {
         m_newest = std::max(m_newest, window);
-        auto& known = m_entries[start][window];
+        auto& known = m_entries[origin][window];
         for (const auto& [tenant, count] : by_tenant)
         {
-            auto& greatest = known[tenant];
-            greatest = std::max(greatest, count);
+            auto& maximum = known[tenant];
+            maximum = std::max(maximum, count);
         }
     }
 }
 
-void count_table::forget_before(std::int64_t oldest)
+void count_table::evict_before(std::int64_t oldest)
 {
     for (auto entry = m_entries.begin(); entry != m_entries.end();)
     {
@@ -33,7 +33,7 @@
 tenant_counts count_table::sum(std::int64_t window) const
 {
     tenant_counts total;
-    for (const auto& [start, windows] : m_entries)
+    for (const auto& [origin, windows] : m_entries)
     {
         const auto found = windows.find(window);
         if (found == windows.end())
--- a/libraries/peers/count_table.hpp
+++ b/libraries/peers/count_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counts of all machines' starts, merged by the greatest.
+/// Request counts of all hosts, merged by taking the maximum.
 #pragma once
 
 #include <base/usage_counts.hpp>
@@ -7,46 +7,46 @@
 namespace daleshelf
 {
 
-/// One start of one machine: its counts only grow.
-struct counting_start
+/// One incarnation of one host. Its counts only grow.
+struct host_incarnation
 {
-    host_id machine;
+    host_id host;
     incarnation started;
 
-    friend auto operator<=>(const counting_start&,
-                            const counting_start&) = default;
+    friend auto operator<=>(const host_incarnation&,
+                            const host_incarnation&) = default;
 };
 
-/// A grow-only counter a start of each machine. Merging takes the greater of
-/// two counts, so it may be done in any order and any number of times; what a
-/// machine counted before it was killed is known while one machine lives that
-/// has heard of it.
+/// A grow-only counter (G-counter) with one entry per host incarnation. Merging
+/// takes the maximum of two counts, so it is commutative and idempotent. The
+/// counts of a crashed host stay known as long as one running host has received
+/// them.
 class count_table
 {
 public:
-    /// Takes what a start has counted, as told by itself or by another.
-    void merge(const counting_start& start, const counts_by_window& counts);
+    /// Merges counts of an incarnation, reported by itself or by another host.
+    void merge(const host_incarnation& origin, const counts_by_window& counts);
 
     /// Drops windows before `oldest`.
-    void forget_before(std::int64_t oldest);
+    void evict_before(std::int64_t oldest);
 
-    /// @return requests begun within a window at all machines, by tenant
+    /// @return requests started within a window on all hosts, by workspace
     [[nodiscard]] tenant_counts sum(std::int64_t window) const;
 
-    /// @return the newest window that anybody has counted in
+    /// @return the newest window in which any host has counted
     [[nodiscard]] std::int64_t newest_window() const
     {
         return m_newest;
     }
 
-    [[nodiscard]] const std::map<counting_start, counts_by_window>&
+    [[nodiscard]] const std::map<host_incarnation, counts_by_window>&
     entries() const
     {
         return m_entries;
     }
 
 private:
-    std::map<counting_start, counts_by_window> m_entries;
+    std::map<host_incarnation, counts_by_window> m_entries;
     std::int64_t m_newest = 0;
 };
 
--- a/libraries/peers/datagram_format.hpp
+++ b/libraries/peers/datagram_format.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a datagram between gateways holds.
+/// Formats of the datagrams between gateways.
 #pragma once
 
 #include <string_view>
@@ -7,26 +7,26 @@
 namespace daleshelf
 {
 
-/// The formats that share one socket, by their number on the wire.
+/// The formats that share one socket. The values go on the wire.
 enum class datagram_format : unsigned char
 {
-    none = 0,           ///< none of these
-    state = 1,          ///< `machine_state`
+    none = 0,           ///< not a known format
+    state = 1,          ///< `host_state`
     quota = 2,          ///< `quota_message`
     counts = 3,         ///< `window_counts`
-    rollout_word = 4,   ///< of the holder of the duties
-    rollout_report = 5, ///< of a host
+    rollout_word = 4,   ///< from the holder of the duty lease
+    rollout_report = 5, ///< from any host
     records = 6,        ///< `shared_records`
     poison = 7,         ///< `poison_record`s
     limits = 8,         ///< `limit_record`s
 };
 
-/// Tells formats apart by their first field, so that a datagram is decoded
+/// Reads the format from the first field, so that each datagram is parsed only
 /// once.
-/// @return its format; `none` for any other bytes
+/// @return the format, or `none` if the bytes do not start with a known one
 [[nodiscard]] inline datagram_format format_of(std::string_view bytes)
 {
-    // The tag of field 1, a number, and the number itself.
+    // The protobuf tag of field 1 (a varint), followed by its one-byte value.
     constexpr char number_tag = 0x08;
     if (bytes.size() < 2 || bytes[0] != number_tag)
     {
--- a/libraries/peers/forward.hpp
+++ b/libraries/peers/forward.hpp
@@ -6,10 +6,10 @@
 {
 
 enum class datagram_format : unsigned char;
-class news_patience;
+class fetch_delay;
 class peer_table;
 class time_estimate;
-struct machine_state;
+struct host_state;
 struct window_counts;
 
 } // namespace daleshelf
--- a/libraries/peers/machine_state.cpp
+++ b/libraries/peers/host_state.cpp
@@ -1,4 +1,4 @@
-#include "machine_state.hpp"
+#include "host_state.hpp"
 
 #include "generated/machine.pb.h"
 
@@ -10,32 +10,32 @@
 
 constexpr std::uint32_t format_version = 1;
 
-void add_counts(wire::MachineState& message, const counting_start& start,
+void add_counts(wire::MachineState& message, const host_incarnation& origin,
                 const counts_by_window& counts)
 {
     for (const auto& [window, by_tenant] : counts)
     {
-        auto& told = *message.add_counts();
-        told.set_machine(start.machine.value());
-        told.set_incarnation(start.started.value());
-        told.set_window(window);
+        auto& report = *message.add_counts();
+        report.set_machine(origin.host.value());
+        report.set_incarnation(origin.started.value());
+        report.set_window(window);
         for (const auto& [tenant, count] : by_tenant)
         {
-            auto& item = *told.add_counts();
+            auto& item = *report.add_counts();
             item.set_tenant(tenant.value());
             item.set_count(count);
         }
     }
 }
 
-void add_service(wire::ServiceState& message, const told_service& told)
+void add_service(wire::ServiceState& message, const service_report& report)
 {
-    message.set_service(told.service.value());
-    message.set_prompts(told.work.prompts);
-    message.set_read_tokens(told.work.read_tokens);
-    message.set_read_tokens_squared(told.work.read_tokens_squared);
-    message.set_allowed_tokens(told.work.allowed_tokens);
-    const auto& learned = told.learned;
+    message.set_service(report.service.value());
+    message.set_prompts(report.work.prompts);
+    message.set_read_tokens(report.work.read_tokens);
+    message.set_read_tokens_squared(report.work.read_tokens_squared);
+    message.set_allowed_tokens(report.work.allowed_tokens);
+    const auto& learned = report.learned;
     message.set_first_ms(static_cast<float>(learned.first_ms));
     message.set_read_ms_per_token(
         static_cast<float>(learned.read_ms_per_token));
@@ -52,13 +52,13 @@
     message.set_first_error(static_cast<float>(learned.first_error));
 }
 
-told_service read_service(const wire::ServiceState& message)
+service_report read_service(const wire::ServiceState& message)
 {
-    told_service told;
-    told.service = service_name(message.service());
-    told.work = {message.prompts(), message.read_tokens(),
-                 message.read_tokens_squared(), message.allowed_tokens()};
-    auto& learned = told.learned;
+    service_report report;
+    report.service = service_name(message.service());
+    report.work = {message.prompts(), message.read_tokens(),
+                   message.read_tokens_squared(), message.allowed_tokens()};
+    auto& learned = report.learned;
     learned.first_ms = message.first_ms();
     learned.read_ms_per_token = message.read_ms_per_token();
     learned.doubtful_part = message.doubtful_part();
@@ -70,14 +70,14 @@
     learned.prompts = message.learned_prompts();
     learned.generations = message.learned_generations();
     learned.first_error = message.first_error();
-    return told;
+    return report;
 }
 
-void add_lists(wire::MachineState& message, const machine_state& state)
+void add_lists(wire::MachineState& message, const host_state& state)
 {
-    for (const auto& told : state.services)
+    for (const auto& report : state.services)
     {
-        add_service(*message.add_services(), told);
+        add_service(*message.add_services(), report);
     }
     for (const auto& load : state.loads)
     {
@@ -87,20 +87,20 @@
         item.set_unread_tokens(load.unread_tokens);
     }
     add_counts(message, {}, state.counts);
-    for (const auto& [start, counts] : state.ended_counts)
+    for (const auto& [origin, counts] : state.relayed_counts)
     {
-        add_counts(message, start, counts);
+        add_counts(message, origin, counts);
     }
-    for (const auto& machine : state.machines)
+    for (const auto& host : state.known_hosts)
     {
         auto& item = *message.add_machines();
-        item.set_name(machine.name.value());
-        item.set_address(machine.address);
-        item.set_hall(machine.hall.value());
+        item.set_name(host.name.value());
+        item.set_address(host.address);
+        item.set_hall(host.hall.value());
     }
 }
 
-void read_lists(const wire::MachineState& message, machine_state& state)
+void read_lists(const wire::MachineState& message, host_state& state)
 {
     for (const auto& item : message.services())
     {
@@ -111,28 +111,28 @@
         state.loads.push_back(
             {upstream_id(item.server()), item.active(), item.unread_tokens()});
     }
-    for (const auto& told : message.counts())
+    for (const auto& report : message.counts())
     {
         auto& counts =
-            told.machine().empty()
+            report.machine().empty()
                 ? state.counts
-                : state.ended_counts[{host_id(told.machine()),
-                                      incarnation(told.incarnation())}];
-        for (const auto& item : told.counts())
+                : state.relayed_counts[{host_id(report.machine()),
+                                        incarnation(report.incarnation())}];
+        for (const auto& item : report.counts())
         {
-            counts[told.window()][workspace_id(item.tenant())] = item.count();
+            counts[report.window()][workspace_id(item.tenant())] = item.count();
         }
     }
     for (const auto& item : message.machines())
     {
-        state.machines.push_back(
+        state.known_hosts.push_back(
             {host_id(item.name()), item.address(), hall_id(item.hall())});
     }
 }
 
 } // namespace
 
-std::string encode(const machine_state& state)
+std::string encode(const host_state& state)
 {
     wire::MachineState message;
     message.set_format(format_version);
@@ -155,7 +155,7 @@
     return message.SerializeAsString();
 }
 
-std::optional<machine_state> decode_machine_state(std::string_view bytes)
+std::optional<host_state> decode_host_state(std::string_view bytes)
 {
     wire::MachineState message;
     if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) ||
@@ -163,7 +163,7 @@
     {
         return std::nullopt;
     }
-    machine_state state;
+    host_state state;
     state.self = {host_id(message.name()), message.address()};
     state.started = incarnation(message.incarnation());
     state.sequence = message.sequence();
--- a/libraries/peers/peer_table.hpp
+++ b/libraries/peers/peer_table.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The other gateways, as far as this one hears them; free of I/O.
+/// The newest known states of the other gateways; free of I/O.
 #pragma once
 
-#include "machine_state.hpp"
+#include "host_state.hpp"
 #include "window_counts.hpp"
 
 #include <absl/time/time.h>
@@ -15,156 +15,168 @@
 namespace daleshelf
 {
 
-/// One other machine.
+/// One other host.
 struct peer_record
 {
-    machine_state state;
+    host_state state;
+    /// When its last state was received; `InfinitePast`: none was.
     absl::Time heard_at = absl::InfinitePast();
-    absl::Time listed_at = absl::InfinitePast(); ///< named by someone
+    /// When its address was first added, from a list or by another host.
+    absl::Time listed_at = absl::InfinitePast();
     std::string address;
-    absl::Time store_answered_at = absl::InfinitePast(); ///< by its own word
+    /// When the store last answered it, according to its own state.
+    absl::Time store_answered_at = absl::InfinitePast();
 };
 
-/// Times after which a silent peer counts as out of reach, and as gone.
+/// Send rate, and timeouts after which a silent peer is unreachable or evicted.
 struct peer_options
 {
-    /// Pause between two datagrams to each peer while there are few.
-    absl::Duration send_pause = absl::Milliseconds(250);
-    /// Beyond this many peers the pause grows with their number, so that what
-    /// a machine sends and hears stays the same.
-    double many_peers = 8;
-    /// Six states in a row are missing: not chance, even where three packets in
-    /// ten are lost.
-    absl::Duration reach_time = absl::Seconds(1.5);
-    /// A host that restarts is back within this time, under the same name.
-    absl::Duration forget_time = absl::Seconds(15);
+    /// Interval between two states sent to the same peer in a small fleet.
+    absl::Duration send_interval = absl::Milliseconds(250);
+    /// Maximum number of peers that are sent a state per tick. With more peers,
+    /// the interval grows in proportion to their number, so that the traffic of
+    /// a host stays constant.
+    double peers_per_tick = 8;
+    /// Six consecutive states are missing: not by chance, even at a packet loss
+    /// of 30%.
+    absl::Duration reach_timeout = absl::Seconds(1.5);
+    /// A restarted host returns within this time, under the same name.
+    absl::Duration eviction_timeout = absl::Seconds(15);
 };
 
-/// What has changed through one datagram.
+/// Effect of one received state.
 struct peer_change
 {
-    bool is_news = false;  ///< newer than what was known of the machine
-    bool is_start = false; ///< first heard, or first since it started again
+    bool is_newer = false; ///< the state replaced the known one
+    /// The state is the first of its host, or the first of a new incarnation.
+    bool is_new_incarnation = false;
 };
 
-/// Records of the platform that hosts hand to one another.
+/// Topics of the platform's log whose records hosts send to one another.
 enum class shared_topic
 {
     configuration,
     servers,
 };
 
-/// How much a host knows of each topic.
-struct known_records
+/// How far a host has read each topic.
+struct topic_positions
 {
     std::int64_t configuration_version = 0;
     log_offset servers_offset;
 };
 
-/// A peer that knows more of a topic.
-struct news_source
+/// A peer that is ahead of this host in a topic.
+struct record_source
 {
     shared_topic topic = shared_topic::configuration;
     std::string address;
-    known_records known; ///< what the peer has told that it knows
+    topic_positions positions; ///< as reported by the peer
 };
 
 /// Keeps the newest state of each peer. See docs/design/platform.md.
 class peer_table
 {
 public:
-    /// @param started this machine's start, in milliseconds since 1970
-    peer_table(machine_address self, incarnation started,
+    /// @param self this host
+    /// @param started this host's incarnation
+    /// @param options send rate and timeouts
+    peer_table(host_address self, incarnation started,
                const peer_options& options);
 
-    /// Notes that a machine may be at an address.
-    void add_address(const machine_address& machine, absl::Time now);
+    /// Adds the address of a host, unless a state of it has been received.
+    void add_address(const host_address& host, absl::Time now);
 
-    /// Takes a peer's state.
-    [[nodiscard]] peer_change receive(machine_state state, absl::Time now);
+    /// Merges the counts of a received state, and stores the state if it is
+    /// newer than the known one.
+    [[nodiscard]] peer_change receive(host_state state, absl::Time now);
 
-    /// Forgets peers that have been silent for long.
-    /// @return those that are forgotten
-    std::vector<host_id> forget_silent(absl::Time now);
+    /// Evicts peers that have left, or have been silent for the eviction
+    /// timeout.
+    /// @return the evicted peers
+    std::vector<host_id> evict_silent(absl::Time now);
 
-    /// @return pause between two datagrams to each peer
-    [[nodiscard]] absl::Duration send_pause() const;
+    /// @return interval between two states sent to the same peer
+    [[nodiscard]] absl::Duration send_interval() const;
 
-    /// @return addresses of the peers that are to be told next: a few at each
-    /// call, all in turn. Each machine begins after its own name, so that no
-    /// machine hears all others at once.
-    [[nodiscard]] std::vector<std::string> next_in_turn();
+    /// @return addresses of the peers to send the state to in this tick, in
+    /// round-robin order. Each host starts after its own name in that order, so
+    /// that no host receives the states of all others at once.
+    [[nodiscard]] std::vector<std::string> next_targets();
 
-    /// @return whether each datagram goes to every peer
-    [[nodiscard]] bool tells_all_at_once() const;
+    /// @return whether the state goes to every peer in each tick
+    [[nodiscard]] bool sends_to_all_peers() const;
 
-    /// @param own_hall the hall whose machines are meant
-    /// @param reaches_store whether this machine, of that hall, reaches the
-    /// store itself
-    /// @return the few machines of the hall that read for the others what the
-    /// store tells: every machine that hears the same finds the same
+    /// @param own_hall the hall whose readers to return
+    /// @param reaches_store whether this host, which is in that hall, reaches
+    /// the store itself
+    /// @return the few hosts that read from the store on behalf of the hall;
+    /// hosts with the same view of the peers get the same result
     [[nodiscard]] std::vector<host_id> readers_of(const hall_id& own_hall,
                                                   bool reaches_store,
                                                   absl::Time now) const;
 
-    /// @return the readers of all halls, without this machine
-    [[nodiscard]] std::vector<host_id> readers_elsewhere(absl::Time now) const;
+    /// @return the readers of all halls, without this host
+    [[nodiscard]] std::vector<host_id> other_readers(absl::Time now) const;
 
-    /// @param own what this machine knows
-    /// @return whom to ask for what this machine lacks: of the peers in reach
-    /// that know more, the one heard last, of the configuration first; nothing
-    /// if none knows more
-    [[nodiscard]] std::optional<news_source>
-    source_of_news(const known_records& own, absl::Time now) const;
+    /// @param own the positions of this host
+    /// @return the peer to fetch missing records from, or nothing if no
+    /// reachable peer is ahead. Peers with a newer configuration go first, then
+    /// those of the own hall, then the one heard most recently.
+    [[nodiscard]] std::optional<record_source>
+    source_of_newer_records(const topic_positions& own, absl::Time now) const;
 
-    /// @return when the store last answered a peer, as far as they have told
+    /// @return when the store last answered any peer, as far as reported
     [[nodiscard]] absl::Time store_answered_at() const;
 
-    /// @return whether a peer was heard so lately that it was alive just now
-    [[nodiscard]] bool is_heard_lately(const host_id& peer,
-                                       absl::Time now) const;
+    /// @return whether a state of the peer arrived within the reach timeout
+    /// of a small fleet, whatever the size of this one
+    [[nodiscard]] bool is_heard_recently(const host_id& peer,
+                                         absl::Time now) const;
 
-    /// @return machines that are in reach, with this one
-    [[nodiscard]] std::size_t reached(absl::Time now) const;
+    /// @return number of reachable hosts, with this one
+    [[nodiscard]] std::size_t reachable_count(absl::Time now) const;
 
-    /// Notes what this machine has counted since its start.
-    void note_own_counts(const counts_by_window& counts, incarnation started);
+    /// Merges the counts of this host's given incarnation.
+    void merge_own_counts(const counts_by_window& counts, incarnation started);
 
-    /// @return requests begun at all machines within a window, by tenant
+    /// @return requests started on all hosts within a window, by workspace
     [[nodiscard]] tenant_counts counts_of(std::int64_t window) const
     {
         return m_counts.sum(window);
     }
 
-    /// Notes counts of one window, told when they were asked for.
-    void note_told_counts(const window_counts& told);
+    /// Merges the response to a request for the counts of one window.
+    void merge_reported_counts(const window_counts& report);
 
-    /// @return counts of a window: this machine's own, and those of some
-    /// starts that no longer tell them, others at each call
-    [[nodiscard]] std::map<counting_start, tenant_counts>
-    told_counts(std::int64_t window) const;
+    /// @return counts of a window for the response to a request: this host's
+    /// own, and those of a bounded number of incarnations that no longer report
+    /// them, rotating between calls
+    [[nodiscard]] std::map<host_incarnation, tenant_counts>
+    reported_counts(std::int64_t window) const;
 
-    /// @return how many requests have begun within a window, and how many
-    /// starts told of them, as a text for logs
+    /// @return the number of requests started within a window and of the
+    /// incarnations that reported them, as a text for logs
     [[nodiscard]] std::string describe_counts(std::int64_t window) const;
 
-    /// @return those of the counts whose windows may not have been settled
+    /// @return the part of the counts whose windows may not be settled yet
     [[nodiscard]] counts_by_window
-    newest_windows(const counts_by_window& counts) const;
+    unsettled_windows(const counts_by_window& counts) const;
 
-    /// @return such counts of some starts that no longer tell them by
-    /// themselves, others at each call; a machine that is only out of reach
-    /// still will
-    [[nodiscard]] std::map<counting_start, counts_by_window>
-    ended_counts(incarnation own_start) const;
+    /// @return unsettled counts of a bounded number of incarnations that no
+    /// longer report them, rotating between calls. Counts of an unreachable
+    /// host that is still known are left out: it reports them itself later.
+    [[nodiscard]] std::map<host_incarnation, counts_by_window>
+    relayed_counts(incarnation own_incarnation) const;
 
-    /// @return known machines, with this one
+    /// @return known hosts, with this one
     [[nodiscard]] std::size_t size() const
     {
         return m_peers.size() + 1;
     }
 
-    [[nodiscard]] bool is_in_reach(const host_id& peer, absl::Time now) const;
+    /// @return whether a state of the peer arrived within the reach timeout
+    [[nodiscard]] bool is_reachable(const host_id& peer, absl::Time now) const;
 
     [[nodiscard]] const std::map<host_id, peer_record>& peers() const
     {
@@ -172,20 +184,22 @@
     }
 
 private:
-    [[nodiscard]] absl::Duration reach_time() const;
-    [[nodiscard]] absl::Duration forget_time() const;
-    [[nodiscard]] std::vector<counting_start>
-    ended_starts(incarnation own_start) const;
-    [[nodiscard]] bool may_read(const host_id& peer, absl::Time now) const;
+    [[nodiscard]] absl::Duration reach_timeout() const;
+    [[nodiscard]] absl::Duration eviction_timeout() const;
+    [[nodiscard]] std::vector<host_incarnation>
+    inactive_incarnations(incarnation own_incarnation) const;
+    [[nodiscard]] bool is_reader_candidate(const host_id& peer,
+                                           absl::Time now) const;
     void drop_seed(const std::string& address);
 
-    machine_address m_self;
+    host_address m_self;
     incarnation m_started;
     peer_options m_options;
     std::map<host_id, peer_record> m_peers;
-    std::size_t m_turn = 0; ///< peers told since its last beginning
+    std::size_t m_round_position = 0; ///< peers sent to in the current round
     count_table m_counts;
-    mutable std::size_t m_next_ended = 0;
+    /// Rotates the inactive incarnations whose counts are relayed.
+    mutable std::size_t m_next_inactive = 0;
 };
 
 } // namespace daleshelf
--- a/libraries/peers/time_estimate.cpp
+++ b/libraries/peers/time_estimate.cpp
@@ -6,15 +6,15 @@
 namespace daleshelf
 {
 
-void time_estimate::note(const host_id& machine, absl::Time wall,
-                         absl::Time monotonic)
+void time_estimate::update(const host_id& host, absl::Time wall,
+                           absl::Time monotonic)
 {
-    m_offsets[machine] = wall - monotonic;
+    m_offsets[host] = wall - monotonic;
 }
 
-void time_estimate::forget(const host_id& machine)
+void time_estimate::remove(const host_id& host)
 {
-    m_offsets.erase(machine);
+    m_offsets.erase(host);
 }
 
 absl::Time time_estimate::at(absl::Time monotonic) const
@@ -25,14 +25,14 @@
     }
     std::vector<absl::Duration> offsets;
     offsets.reserve(m_offsets.size());
-    for (const auto& [machine, offset] : m_offsets)
+    for (const auto& [host, offset] : m_offsets)
     {
         offsets.push_back(offset);
     }
-    const auto middle =
+    const auto median =
         offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
-    std::nth_element(offsets.begin(), middle, offsets.end());
-    return monotonic + *middle;
+    std::nth_element(offsets.begin(), median, offsets.end());
+    return monotonic + *median;
 }
 
 } // namespace daleshelf
--- a/libraries/peers/time_estimate.hpp
+++ b/libraries/peers/time_estimate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// True time of day from clocks that may be wrong.
+/// Time of day, estimated from clocks that may be wrong.
 #pragma once
 
 #include <absl/time/time.h>
@@ -10,23 +10,23 @@
 namespace daleshelf
 {
 
-/// Estimates the time of day as the median of what all machines' clocks say,
-/// carried on by the monotonic clock, so that a step of one machine's clock
-/// changes nothing.
+/// Estimates the time of day as the median of all hosts' clocks, extrapolated
+/// with the monotonic clock, so that a step of one host's clock has no effect.
 class time_estimate
 {
 public:
-    /// Notes what a machine's clock says at a moment of the monotonic clock.
-    void note(const host_id& machine, absl::Time wall, absl::Time monotonic);
+    /// Records a host's clock reading at a time of the monotonic clock.
+    void update(const host_id& host, absl::Time wall, absl::Time monotonic);
 
-    /// Forgets a machine that is gone.
-    void forget(const host_id& machine);
+    /// Removes a host that was evicted.
+    void remove(const host_id& host);
 
-    /// @return the time of day at a moment of the monotonic clock
+    /// @return the time of day at a time of the monotonic clock; that time
+    /// itself while no host is known
     [[nodiscard]] absl::Time at(absl::Time monotonic) const;
 
 private:
-    std::map<host_id, absl::Duration> m_offsets; ///< wall less monotonic
+    std::map<host_id, absl::Duration> m_offsets; ///< wall minus monotonic
 };
 
 } // namespace daleshelf
--- a/libraries/peers/topic_records.cpp
+++ b/libraries/peers/topic_records.cpp
@@ -1,8 +1,8 @@
 #include "topic_records.hpp"
 
+#include "compression.hpp"
 #include "datagram_format.hpp"
 #include "generated/machine.pb.h"
-#include "packing.hpp"
 
 namespace daleshelf
 {
@@ -45,7 +45,7 @@
     message.set_next(records.next.value());
     if (!records.records.empty())
     {
-        message.set_packed(pack(list.SerializeAsString()));
+        message.set_packed(compress(list.SerializeAsString()));
     }
     return message.SerializeAsString();
 }
@@ -53,20 +53,20 @@
 std::optional<shared_records> decode_shared_records(std::string_view bytes)
 {
     wire::TopicRecords message;
-    const bool is_message =
+    const bool is_valid =
         format_of(bytes) == datagram_format::records &&
         message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
-    if (!is_message)
+    if (!is_valid)
     {
         return std::nullopt;
     }
-    std::optional<std::string> unpacked = std::string();
+    std::optional<std::string> list_bytes = std::string();
     if (!message.packed().empty())
     {
-        unpacked = unpack(message.packed());
+        list_bytes = decompress(message.packed());
     }
     wire::RecordList list;
-    if (!unpacked || !list.ParseFromString(*unpacked))
+    if (!list_bytes || !list.ParseFromString(*list_bytes))
     {
         return std::nullopt;
     }
--- a/libraries/peers/window_counts.cpp
+++ b/libraries/peers/window_counts.cpp
@@ -8,27 +8,27 @@
 namespace
 {
 
-// Formats 1 and 2 are states of machines and messages of quotas.
+// `datagram_format::counts`; 1 and 2 are host states and quota messages.
 constexpr std::uint32_t format_version = 3;
 
 } // namespace
 
-std::string encode(const window_counts& told)
+std::string encode(const window_counts& report)
 {
     wire::WindowTold message;
     message.set_format(format_version);
-    message.set_name(told.from.machine.value());
-    message.set_incarnation(told.from.started.value());
-    message.set_window(told.window);
-    message.set_is_question(told.is_question);
-    for (const auto& [start, counts] : told.counts)
+    message.set_name(report.from.host.value());
+    message.set_incarnation(report.from.started.value());
+    message.set_window(report.window);
+    message.set_is_question(report.is_request);
+    for (const auto& [origin, counts] : report.counts)
     {
-        auto& by_start = *message.add_starts();
-        by_start.set_machine(start.machine.value());
-        by_start.set_incarnation(start.started.value());
+        auto& by_origin = *message.add_starts();
+        by_origin.set_machine(origin.host.value());
+        by_origin.set_incarnation(origin.started.value());
         for (const auto& [tenant, count] : counts)
         {
-            auto& item = *by_start.add_counts();
+            auto& item = *by_origin.add_counts();
             item.set_tenant(tenant.value());
             item.set_count(count);
         }
@@ -44,21 +44,21 @@
     {
         return std::nullopt;
     }
-    window_counts told;
-    told.from = {host_id(message.name()), incarnation(message.incarnation())};
-    told.window = message.window();
-    told.is_question = message.is_question();
-    for (const auto& by_start : message.starts())
+    window_counts report;
+    report.from = {host_id(message.name()), incarnation(message.incarnation())};
+    report.window = message.window();
+    report.is_request = message.is_question();
+    for (const auto& by_origin : message.starts())
     {
-        const counting_start start{host_id(by_start.machine()),
-                                   incarnation(by_start.incarnation())};
-        auto& counts = told.counts[start];
-        for (const auto& item : by_start.counts())
+        const host_incarnation origin{host_id(by_origin.machine()),
+                                      incarnation(by_origin.incarnation())};
+        auto& counts = report.counts[origin];
+        for (const auto& item : by_origin.counts())
         {
             counts[workspace_id(item.tenant())] = item.count();
         }
     }
-    return told;
+    return report;
 }
 
 } // namespace daleshelf
--- a/libraries/peers/window_counts.hpp
+++ b/libraries/peers/window_counts.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What gateways tell of one usage window when they are asked.
+/// Request for the counts of one usage window, and the response to it.
 #pragma once
 
 #include "count_table.hpp"
@@ -12,20 +12,20 @@
 namespace daleshelf
 {
 
-/// A question for the counts of one window, or the answer to it.
+/// A request for the counts of one window, or the response to it.
 struct window_counts
 {
-    counting_start from; ///< who asks or tells
+    host_incarnation from; ///< the sender
     std::int64_t window = 0;
-    bool is_question = false;
-    /// By the start that counted.
-    std::map<counting_start, tenant_counts> counts;
+    bool is_request = false;
+    /// By the incarnation that counted.
+    std::map<host_incarnation, tenant_counts> counts;
 };
 
 /// @return the bytes of a datagram
-[[nodiscard]] std::string encode(const window_counts& told);
+[[nodiscard]] std::string encode(const window_counts& report);
 
-/// @return what was sent, or nothing if the bytes are no such datagram
+/// @return the message, or nothing if the bytes are not a valid datagram
 [[nodiscard]] std::optional<window_counts>
 decode_window_counts(std::string_view bytes);
 
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -303,7 +303,7 @@
     meter.set("machines_known", "Gateways known, with this one.",
               static_cast<double>(m_peers.table().size()));
     meter.set("machines_reached", "Gateways heard lately, with this one.",
-              static_cast<double>(m_peers.table().reached(now)));
+              static_cast<double>(m_peers.table().reachable_count(now)));
     meter.set("quota_share", "Of the fleet's time, that this gateway earns.",
               m_state.quota.shared().share());
     meter.set("quota_kept", "Of the fleet's time, that this gateway keeps.",
--- a/services/gateway/gateway_state.cpp
+++ b/services/gateway/gateway_state.cpp
@@ -77,7 +77,7 @@
     , ends(*this)
     , limits(*this)
 {
-    clock.note(self, wall_time(), now());
+    clock.update(self, wall_time(), now());
 }
 
 absl::Time gateway_state::now()
--- a/services/gateway/host_list.cpp
+++ b/services/gateway/host_list.cpp
@@ -112,8 +112,8 @@
     const auto blank = value.find(' ');
     const auto hall =
         blank == std::string::npos ? std::string() : value.substr(blank + 1);
-    const machine_address host{host_id(record.key), value.substr(0, blank),
-                               hall_id(hall)};
+    const host_address host{host_id(record.key), value.substr(0, blank),
+                            hall_id(hall)};
     m_state.quota.shared().roster().list(host.name, host.hall,
                                          gateway_state::now());
     m_found(host);
--- a/services/gateway/host_list.hpp
+++ b/services/gateway/host_list.hpp
@@ -7,7 +7,7 @@
 
 #include <functional>
 #include <optional>
-#include <peers/machine_state.hpp>
+#include <peers/host_state.hpp>
 
 namespace daleshelf
 {
@@ -17,7 +17,7 @@
 class host_list
 {
 public:
-    using finder = std::function<void(const machine_address& host)>;
+    using finder = std::function<void(const host_address& host)>;
 
     /// @param found called with each host that is listed
     host_list(gateway_state& state, finder found);
--- a/services/gateway/peer_exchange.cpp
+++ b/services/gateway/peer_exchange.cpp
@@ -52,7 +52,7 @@
 peer_exchange::peer_exchange(gateway_state& state, followed_topics topics)
     : m_state(state)
     , m_topics(topics)
-    , m_list(state, [this](const machine_address& machine)
+    , m_list(state, [this](const host_address& machine)
              { m_table.add_address(machine, gateway_state::now()); })
     , m_table({state.self, state.settings.peers_address, state.hall},
               state.started, peer_options())
@@ -102,8 +102,9 @@
     const bool is_follower = m_state.role == list_role::follower;
     for (const auto& [name, peer] : m_table.peers())
     {
-        const bool is_heard = is_follower ? m_table.is_in_reach(name, now)
-                                          : m_table.is_heard_lately(name, now);
+        const bool is_heard = is_follower
+                                  ? m_table.is_reachable(name, now)
+                                  : m_table.is_heard_recently(name, now);
         if (is_heard && peer.state.duty_token >= 0 &&
             peer.state.duty_holder == name)
         {
@@ -119,7 +120,7 @@
     window_counts question;
     question.from = {m_state.self, m_state.started};
     question.window = window;
-    question.is_question = true;
+    question.is_request = true;
     const auto bytes = encode(question);
     for (const auto& machine : machines)
     {
@@ -145,7 +146,7 @@
     std::vector<host_id> machines;
     for (const auto& [name, peer] : m_table.peers())
     {
-        if (!is_in_reach || m_table.is_in_reach(name, now))
+        if (!is_in_reach || m_table.is_reachable(name, now))
         {
             machines.push_back(name);
         }
@@ -206,22 +207,22 @@
     while (true)
     {
         const auto now = gateway_state::now();
-        for (const auto& peer : m_table.forget_silent(now))
+        for (const auto& peer : m_table.evict_silent(now))
         {
             log(events::peer_lost, {{"peer", peer.value()}});
             m_state.choice.drop_peer(peer);
             m_state.engines.drop_peer(peer);
-            m_state.clock.forget(peer);
+            m_state.clock.remove(peer);
         }
         log_joined();
-        m_state.clock.note(m_state.self, wall_time(), now);
-        m_state.quota.shared().set_join_time(m_table.send_pause() +
+        m_state.clock.update(m_state.self, wall_time(), now);
+        m_state.quota.shared().set_join_time(m_table.send_interval() +
                                              join_margin);
         m_state.quota.tick();
         m_state.engines.refresh();
         m_state.retries.set_machines(m_state.quota.shared().counted_hosts(now));
         m_state.change_pause =
-            std::clamp(absl::ToChronoMilliseconds(m_table.send_pause() / 3),
+            std::clamp(absl::ToChronoMilliseconds(m_table.send_interval() / 3),
                        least_change_pause,
                        m_state.role == list_role::reader ? readers_change_pause
                                                          : most_change_pause);
@@ -261,7 +262,7 @@
 // links of small machines.
 void peer_exchange::send_to_some(const std::string& bytes)
 {
-    for (const auto& address : m_table.next_in_turn())
+    for (const auto& address : m_table.next_targets())
     {
         send_datagram(udp_endpoint(address), bytes);
     }
@@ -272,12 +273,12 @@
 void peer_exchange::send_to_candidates(const std::string& bytes)
 {
     const bool has_word = m_duty.token >= 0 || m_duty.released_token >= 0;
-    if (m_table.tells_all_at_once() ||
+    if (m_table.sends_to_all_peers() ||
         (m_state.role != list_role::reader && !has_word))
     {
         return;
     }
-    for (const auto& name : m_table.readers_elsewhere(gateway_state::now()))
+    for (const auto& name : m_table.other_readers(gateway_state::now()))
     {
         send_datagram(udp_endpoint(m_table.peers().at(name).address), bytes);
     }
--- a/services/gateway/peer_exchange.hpp
+++ b/services/gateway/peer_exchange.hpp
@@ -124,15 +124,15 @@
     void receive_state(std::string_view bytes);
     void receive_counts(std::string_view bytes,
                         const asio::ip::udp::endpoint& sender);
-    void apply(const machine_state& state);
+    void apply(const host_state& state);
     void send_datagram(const asio::ip::udp::endpoint& to,
                        const std::string& bytes);
     void send_to_some(const std::string& bytes);
     void send_to_candidates(const std::string& bytes);
     void send_to_random(std::size_t count, const std::string& bytes);
-    [[nodiscard]] machine_state own_state();
+    [[nodiscard]] host_state own_state();
     [[nodiscard]] std::int64_t store_answer_age_ms() const;
-    [[nodiscard]] std::vector<machine_address> some_machines();
+    [[nodiscard]] std::vector<host_address> some_machines();
 
     gateway_state& m_state;
     followed_topics m_topics;
--- a/services/gateway/peer_states.cpp
+++ b/services/gateway/peer_states.cpp
@@ -24,12 +24,12 @@
     {
         return;
     }
-    if (!told->is_question)
+    if (!told->is_request)
     {
-        m_table.note_told_counts(*told);
+        m_table.merge_reported_counts(*told);
         if (m_on_counts_told)
         {
-            m_on_counts_told(told->window, told->from.machine);
+            m_on_counts_told(told->window, told->from.host);
         }
         return;
     }
@@ -38,17 +38,17 @@
         // The asker's clock is ahead: it asks again.
         return;
     }
-    m_table.note_own_counts(m_state.usage.counts(), m_state.started);
+    m_table.merge_own_counts(m_state.usage.counts(), m_state.started);
     window_counts answer;
     answer.from = {m_state.self, m_state.started};
     answer.window = told->window;
-    answer.counts = m_table.told_counts(told->window);
+    answer.counts = m_table.reported_counts(told->window);
     send_datagram(sender, encode(answer));
 }
 
 void peer_exchange::receive_state(std::string_view bytes)
 {
-    auto state = decode_machine_state(bytes);
+    auto state = decode_host_state(bytes);
     if (!state)
     {
         return;
@@ -56,12 +56,12 @@
     const auto now = gateway_state::now();
     const auto name = state->self.name;
     const auto change = m_table.receive(std::move(*state), now);
-    if (!change.is_news)
+    if (!change.is_newer)
     {
         return;
     }
     const auto& newest = m_table.peers().at(name).state;
-    if (change.is_start)
+    if (change.is_new_incarnation)
     {
         m_joined.add(concat(name.value(), "=", newest.self.address));
         for (const auto& listener : m_on_peer_start)
@@ -72,16 +72,16 @@
     apply(newest);
 }
 
-void peer_exchange::apply(const machine_state& state)
+void peer_exchange::apply(const host_state& state)
 {
     const auto now = gateway_state::now();
-    m_state.clock.note(state.self.name,
-                       absl::FromUnixMillis(state.wall_time_ms), now);
+    m_state.clock.update(state.self.name,
+                         absl::FromUnixMillis(state.wall_time_ms), now);
     auto& quota = m_state.quota.shared();
     quota.hear({state.self.name, state.hall, state.started, state.is_stopping,
                 state.fleet_size},
                now);
-    for (const auto& machine : state.machines)
+    for (const auto& machine : state.known_hosts)
     {
         m_table.add_address(machine, now);
         quota.roster().list(machine.name, machine.hall, now);
@@ -102,9 +102,9 @@
     }
 }
 
-machine_state peer_exchange::own_state()
+host_state peer_exchange::own_state()
 {
-    machine_state state;
+    host_state state;
     state.self = {m_state.self, m_state.settings.peers_address};
     state.started = m_state.started;
     state.sequence = ++m_sequence;
@@ -127,10 +127,10 @@
             state.loads.push_back({server, load.active, load.unread_tokens});
         }
     }
-    m_table.note_own_counts(m_state.usage.counts(), m_state.started);
-    state.counts = m_table.newest_windows(m_state.usage.counts());
-    state.ended_counts = m_table.ended_counts(m_state.started);
-    state.machines = some_machines();
+    m_table.merge_own_counts(m_state.usage.counts(), m_state.started);
+    state.counts = m_table.unsettled_windows(m_state.usage.counts());
+    state.relayed_counts = m_table.relayed_counts(m_state.started);
+    state.known_hosts = some_machines();
     state.fleet_size =
         static_cast<std::int64_t>(m_state.quota.shared().fleet_size());
     state.duty_holder = m_duty.holder;
@@ -149,10 +149,10 @@
 }
 
 // Others at each call, so that all are named in turn.
-std::vector<machine_address> peer_exchange::some_machines()
+std::vector<host_address> peer_exchange::some_machines()
 {
     const auto& peers = m_table.peers();
-    std::vector<machine_address> named;
+    std::vector<host_address> named;
     auto peer = peers.upper_bound(m_last_named);
     for (std::size_t index = 0;
          index < peers.size() && named.size() < most_named_machines; ++index)
--- a/services/gateway/topic_sharing.cpp
+++ b/services/gateway/topic_sharing.cpp
@@ -75,7 +75,7 @@
     m_first_chosen_at = std::min(m_first_chosen_at, now);
     const bool is_starting =
         !m_state.knows_hosts && now - m_first_chosen_at < most_start_time;
-    if (is_starting || m_table.tells_all_at_once())
+    if (is_starting || m_table.sends_to_all_peers())
     {
         m_state.role = is_starting ? list_role::starting : list_role::alone;
         return;
@@ -200,12 +200,12 @@
 // Fetches what a peer has known for a while and the store has not told.
 void topic_sharing::fetch_news()
 {
-    const known_records own{
+    const topic_positions own{
         m_state.routes ? m_state.routes->configuration().version : 0,
         m_topics.servers.next()};
     const auto now = gateway_state::now();
-    const auto source = m_table.source_of_news(own, now);
-    if (m_is_fetching || !m_patience.is_over(own, source, now))
+    const auto source = m_table.source_of_newer_records(own, now);
+    if (m_is_fetching || !m_patience.has_elapsed(own, source, now))
     {
         return;
     }
--- a/services/gateway/topic_sharing.hpp
+++ b/services/gateway/topic_sharing.hpp
@@ -7,7 +7,7 @@
 #include "topic_follower.hpp"
 
 #include <functional>
-#include <peers/news_patience.hpp>
+#include <peers/fetch_delay.hpp>
 #include <peers/peer_table.hpp>
 #include <peers/topic_records.hpp>
 
@@ -63,7 +63,7 @@
     followed_topics m_topics;
     const peer_table& m_table;
     sender m_send;
-    news_patience m_patience{patience};
+    fetch_delay m_patience{patience};
     absl::Time m_first_chosen_at = absl::InfiniteFuture();
     int m_tellings = 0; ///< that are on their way
     bool m_is_fetching = false;
--- a/tests/fuzz/make_corpus.cpp
+++ b/tests/fuzz/make_corpus.cpp
@@ -5,7 +5,7 @@
 #include <filesystem>
 #include <fstream>
 #include <iostream>
-#include <peers/machine_state.hpp>
+#include <peers/host_state.hpp>
 #include <peers/topic_records.hpp>
 #include <peers/window_counts.hpp>
 #include <platform/rollout_format.hpp>
@@ -82,12 +82,12 @@
 void write_peers(const std::filesystem::path& folder)
 {
     corpus inputs(folder);
-    machine_state state;
+    host_state state;
     state.self = {host_id("a"), "10.0.0.1:7"};
     state.started = incarnation(4);
     state.loads = {{upstream_id("s"), 2, 300}};
     state.counts = {{7, {{workspace_id("w"), 4}}}};
-    state.machines = {{host_id("b"), "10.0.0.2:7", hall_id("north")}};
+    state.known_hosts = {{host_id("b"), "10.0.0.2:7", hall_id("north")}};
     inputs.add(0, encode(state));
     shared_records records;
     records.topic = "keyed.servers";
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -5,7 +5,7 @@
 #include "fuzz_input.hpp"
 
 #include <array>
-#include <peers/machine_state.hpp>
+#include <peers/host_state.hpp>
 #include <peers/topic_records.hpp>
 #include <peers/window_counts.hpp>
 #include <poison/poison_message.hpp>
@@ -83,7 +83,7 @@
     (void)table.next_in_turn(4);
 }
 
-constexpr std::array readers{&read_again<decode_machine_state>,
+constexpr std::array readers{&read_again<decode_host_state>,
                              &read_again<decode_shared_records>,
                              &read_again<decode_window_counts>,
                              &read_again<decode_quota_message>,
--- a/tests/peers/peers_test.cpp
+++ b/tests/peers/peers_test.cpp
@@ -20,10 +20,10 @@
     return absl::UnixEpoch() + absl::Seconds(seconds);
 }
 
-machine_state make_state(const std::string& name, std::int64_t started,
-                         std::int64_t sequence)
+host_state make_state(const std::string& name, std::int64_t started,
+                      std::int64_t sequence)
 {
-    machine_state state;
+    host_state state;
     state.self = {host_id(name), "10.0.0." + name + ":7"};
     state.started = incarnation(started);
     state.sequence = sequence;
@@ -36,52 +36,52 @@
                       peer_options());
 }
 
-TEST(machine_state, survives_its_encoding)
+TEST(host_state, survives_its_encoding)
 {
     auto state = make_state("2", 5, 6);
     state.wall_time_ms = 123456;
     state.configuration_version = 9;
     state.servers_offset = log_offset(44);
     state.is_stopping = true;
-    told_service told;
-    told.service = service_name("engines");
-    told.work = {7, 1.5, 2.5, 70};
-    told.learned.read_ms_per_token = 0.25;
-    told.learned.generations = 12;
-    state.services.push_back(told);
+    service_report sent;
+    sent.service = service_name("engines");
+    sent.work = {7, 1.5, 2.5, 70};
+    sent.learned.read_ms_per_token = 0.25;
+    sent.learned.generations = 12;
+    state.services.push_back(sent);
     state.fleet_size = 77;
     state.loads = {{upstream_id("s"), 2, 300}};
     state.counts = {{7, {{studio, 4}}}};
-    state.ended_counts = {
+    state.relayed_counts = {
         {{host_id("3"), incarnation(1)}, {{6, {{studio, 8}}}}}};
-    state.machines = {{host_id("3"), "10.0.0.3:7", hall_id("north")}};
+    state.known_hosts = {{host_id("3"), "10.0.0.3:7", hall_id("north")}};
     state.duty_holder = host_id("2");
     state.duty_token = 17;
     state.released_token = 11;
     state.store_answer_age_ms = 250;
-    const auto read = decode_machine_state(encode(state));
+    const auto read = decode_host_state(encode(state));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->self.address, state.self.address);
     EXPECT_EQ(read->servers_offset, state.servers_offset);
-    ASSERT_EQ(read->machines.size(), 1U);
-    EXPECT_EQ(read->machines.front().hall, hall_id("north"));
+    ASSERT_EQ(read->known_hosts.size(), 1U);
+    EXPECT_EQ(read->known_hosts.front().hall, hall_id("north"));
     EXPECT_EQ(read->counts, state.counts);
-    EXPECT_EQ(read->ended_counts, state.ended_counts);
+    EXPECT_EQ(read->relayed_counts, state.relayed_counts);
     EXPECT_EQ(read->loads.front().unread_tokens, 300);
     EXPECT_EQ(read->duty_token, 17);
     EXPECT_EQ(read->released_token, 11);
     EXPECT_EQ(read->store_answer_age_ms, 250);
     ASSERT_EQ(read->services.size(), 1);
-    const auto& heard = read->services.front();
-    EXPECT_EQ(heard.service, service_name("engines"));
-    EXPECT_EQ(heard.work.read_tokens, 1.5);
-    EXPECT_EQ(heard.work.allowed_tokens, 70);
-    EXPECT_EQ(heard.learned.read_ms_per_token, 0.25);
-    EXPECT_EQ(heard.learned.generations, 12);
+    const auto& decoded = read->services.front();
+    EXPECT_EQ(decoded.service, service_name("engines"));
+    EXPECT_EQ(decoded.work.read_tokens, 1.5);
+    EXPECT_EQ(decoded.work.allowed_tokens, 70);
+    EXPECT_EQ(decoded.learned.read_ms_per_token, 0.25);
+    EXPECT_EQ(decoded.learned.generations, 12);
     EXPECT_EQ(read->fleet_size, 77);
 }
 
-// A fleet of `count` peers in this hall, all of which reach the store.
+// A table with `count` peers in one hall, all of which reach the store.
 peer_table make_large_table(int count)
 {
     auto table = make_table();
@@ -135,19 +135,19 @@
               std::vector<host_id>{host_id("1")});
 }
 
-TEST(machine_state, other_bytes_are_no_state)
+TEST(host_state, other_bytes_are_no_state)
 {
-    EXPECT_FALSE(decode_machine_state("not a state"));
-    EXPECT_FALSE(decode_machine_state(""));
+    EXPECT_FALSE(decode_host_state("not a state"));
+    EXPECT_FALSE(decode_host_state(""));
 }
 
 TEST(peer_table, an_older_datagram_changes_nothing)
 {
     auto table = make_table();
-    EXPECT_TRUE(table.receive(make_state("2", 5, 6), at(1)).is_news);
-    EXPECT_FALSE(table.receive(make_state("2", 5, 5), at(2)).is_news);
-    EXPECT_FALSE(table.receive(make_state("2", 4, 9), at(2)).is_news);
-    EXPECT_TRUE(table.receive(make_state("2", 6, 1), at(2)).is_news);
+    EXPECT_TRUE(table.receive(make_state("2", 5, 6), at(1)).is_newer);
+    EXPECT_FALSE(table.receive(make_state("2", 5, 5), at(2)).is_newer);
+    EXPECT_FALSE(table.receive(make_state("2", 4, 9), at(2)).is_newer);
+    EXPECT_TRUE(table.receive(make_state("2", 6, 1), at(2)).is_newer);
 }
 
 TEST(peer_table, reaches_those_it_has_heard_lately)
@@ -156,9 +156,9 @@
     (void)table.receive(make_state("2", 5, 1), at(1));
     table.add_address({host_id("3"), "10.0.0.3:7"}, at(1));
     EXPECT_EQ(table.size(), 3);
-    EXPECT_EQ(table.reached(at(2)), 2);
-    EXPECT_EQ(table.reached(at(9)), 1);
-    EXPECT_EQ(table.forget_silent(at(17)).size(), 2);
+    EXPECT_EQ(table.reachable_count(at(2)), 2);
+    EXPECT_EQ(table.reachable_count(at(9)), 1);
+    EXPECT_EQ(table.evict_silent(at(17)).size(), 2);
     EXPECT_EQ(table.size(), 1);
 }
 
@@ -169,7 +169,7 @@
     EXPECT_EQ(table.size(), 2);
     (void)table.receive(make_state("2", 5, 1), at(1));
     EXPECT_EQ(table.size(), 2);
-    EXPECT_EQ(table.reached(at(1)), 2);
+    EXPECT_EQ(table.reachable_count(at(1)), 2);
 }
 
 TEST(peer_table, keeps_the_counts_of_a_start_that_has_ended)
@@ -178,40 +178,41 @@
     auto state = make_state("2", 5, 1);
     state.counts = {{7, {{studio, 4}}}};
     (void)table.receive(state, at(1));
-    auto again = make_state("2", 6, 1);
-    again.counts = {{7, {{studio, 2}}}};
-    (void)table.receive(again, at(2));
+    auto restarted = make_state("2", 6, 1);
+    restarted.counts = {{7, {{studio, 2}}}};
+    (void)table.receive(restarted, at(2));
     EXPECT_EQ(table.counts_of(7).at(studio), 6);
-    const auto ended = table.ended_counts(incarnation(100000));
-    ASSERT_EQ(ended.size(), 1);
-    EXPECT_EQ(ended.begin()->first.started, incarnation(5));
-    table.forget_silent(at(60));
+    const auto relayed = table.relayed_counts(incarnation(100000));
+    ASSERT_EQ(relayed.size(), 1);
+    EXPECT_EQ(relayed.begin()->first.started, incarnation(5));
+    table.evict_silent(at(60));
     EXPECT_EQ(table.counts_of(7).at(studio), 6);
 }
 
-// With many machines a datagram that told all of them was never sent.
+// Guards against datagrams that exceed the size limit: with many hosts, one
+// that relayed all incarnations was never sent.
 TEST(peer_table, tells_a_bounded_number_of_ended_starts_and_all_in_turn)
 {
     auto table = make_table();
     auto state = make_state("2", 5, 1);
-    constexpr int ended = 100;
-    for (int index = 0; index < ended; ++index)
+    constexpr int incarnations = 100;
+    for (int index = 0; index < incarnations; ++index)
     {
-        state.ended_counts[{host_id("old"), incarnation(index)}] = {
+        state.relayed_counts[{host_id("old"), incarnation(index)}] = {
             {7, {{studio, 1}}}};
     }
     (void)table.receive(state, at(1));
-    std::set<counting_start> told;
-    for (int turn = 0; turn < ended; ++turn)
+    std::set<host_incarnation> seen;
+    for (int round = 0; round < incarnations; ++round)
     {
-        const auto some = table.ended_counts(incarnation(100000));
-        EXPECT_LE(some.size(), 8);
-        for (const auto& [start, counts] : some)
+        const auto subset = table.relayed_counts(incarnation(100000));
+        EXPECT_LE(subset.size(), 8);
+        for (const auto& [origin, counts] : subset)
         {
-            told.insert(start);
+            seen.insert(origin);
         }
     }
-    EXPECT_EQ(told.size(), ended);
+    EXPECT_EQ(seen.size(), incarnations);
 }
 
 TEST(peer_table, a_machine_out_of_reach_tells_its_counts_by_itself)
@@ -220,26 +221,26 @@
     auto state = make_state("2", 5, 1);
     state.counts = {{7, {{studio, 4}}}};
     (void)table.receive(state, at(1));
-    EXPECT_TRUE(table.ended_counts(incarnation(100000)).empty());
+    EXPECT_TRUE(table.relayed_counts(incarnation(100000)).empty());
 }
 
 TEST(peer_table, the_pause_grows_with_the_number_of_peers)
 {
     auto table = make_table();
-    EXPECT_EQ(table.send_pause(), absl::Milliseconds(250));
+    EXPECT_EQ(table.send_interval(), absl::Milliseconds(250));
     for (int index = 2; index <= 81; ++index)
     {
         const auto name = std::to_string(index);
         table.add_address({host_id(name), "10.0.1." + name + ":7"}, at(0));
     }
-    EXPECT_EQ(table.send_pause(), absl::Seconds(2.5));
+    EXPECT_EQ(table.send_interval(), absl::Seconds(2.5));
 }
 
 RC_GTEST_PROP(count_table, merging_in_any_order_and_twice_is_the_same, ())
 {
     struct report
     {
-        counting_start start;
+        host_incarnation origin;
         counts_by_window counts;
     };
     const auto size = *rc::gen::inRange(1, 12);
@@ -253,16 +254,16 @@
                              {{studio, *rc::gen::inRange(0, 50)}}}}});
     }
     count_table forward;
-    for (const auto& told : reports)
+    for (const auto& item : reports)
     {
-        forward.merge(told.start, told.counts);
+        forward.merge(item.origin, item.counts);
     }
     std::reverse(reports.begin(), reports.end());
     count_table backward;
-    for (const auto& told : reports)
+    for (const auto& item : reports)
     {
-        backward.merge(told.start, told.counts);
-        backward.merge(told.start, told.counts);
+        backward.merge(item.origin, item.counts);
+        backward.merge(item.origin, item.counts);
     }
     RC_ASSERT(forward.entries() == backward.entries());
 }
@@ -270,19 +271,19 @@
 TEST(time_estimate, one_clock_that_steps_changes_nothing)
 {
     time_estimate clock;
-    clock.note(host_id("1"), at(1000), at(10));
-    clock.note(host_id("2"), at(1000.02), at(10));
-    clock.note(host_id("3"), at(999.99), at(10));
+    clock.update(host_id("1"), at(1000), at(10));
+    clock.update(host_id("2"), at(1000.02), at(10));
+    clock.update(host_id("3"), at(999.99), at(10));
     EXPECT_EQ(clock.at(at(11)), at(1001));
-    clock.note(host_id("1"), at(1004), at(12));
+    clock.update(host_id("1"), at(1004), at(12));
     EXPECT_EQ(clock.at(at(12)), at(1002.02));
 }
 
-// All hosts of a fleet that starts have read the same list: they name the same
-// readers before they have heard one another.
+// Hosts that start together have read the same list, so they must choose the
+// same readers before they have received any state from one another.
 TEST(peer_table, hosts_that_start_together_name_the_same_readers)
 {
-    std::vector<machine_address> listed;
+    std::vector<host_address> listed;
     listed.reserve(60);
     for (int number = 1; number <= 60; ++number)
     {
@@ -290,20 +291,20 @@
         listed.push_back(
             {host_id(name), "10.0.0." + name + ":7", hall_id("h")});
     }
-    std::set<std::vector<host_id>> named;
+    std::set<std::vector<host_id>> chosen;
     for (const auto& self : listed)
     {
         peer_table table(self, incarnation(1), peer_options());
-        for (const auto& machine : listed)
+        for (const auto& host : listed)
         {
-            table.add_address(machine, at(0));
+            table.add_address(host, at(0));
         }
         auto readers = table.readers_of(hall_id("h"), true, at(0.2));
         std::sort(readers.begin(), readers.end());
-        named.insert(readers);
+        chosen.insert(readers);
     }
-    EXPECT_EQ(named.size(), 1U);
-    EXPECT_EQ(named.begin()->size(), 2U);
+    EXPECT_EQ(chosen.size(), 1U);
+    EXPECT_EQ(chosen.begin()->size(), 2U);
 }
 
 TEST(peer_table, a_listed_machine_that_is_never_heard_does_not_read_for_long)
@@ -314,7 +315,7 @@
     EXPECT_TRUE(table.readers_of(hall_id("h"), false, at(1)).empty());
 }
 
-TEST(datagram_format, tells_what_shares_the_socket_apart)
+TEST(datagram_format, distinguishes_the_formats_on_one_socket)
 {
     EXPECT_EQ(format_of(encode(make_state("2", 5, 6))), datagram_format::state);
     shared_records records;
@@ -324,7 +325,7 @@
     EXPECT_EQ(format_of("\x08\x09"), datagram_format::none);
 }
 
-// Of 580 hosts each one's state comes every 18 s, and one may be lost.
+// With 580 hosts, the states of a peer are 18 s apart, and one can be lost.
 TEST(peer_table, forgets_nobody_between_two_states_of_a_large_fleet)
 {
     auto table = make_table();
@@ -333,18 +334,19 @@
     {
         (void)table.receive(make_state(std::to_string(number), 5, 6), at(1));
     }
-    const auto turn = absl::ToDoubleSeconds(table.send_pause());
-    EXPECT_TRUE(table.forget_silent(at(1 + 2 * turn)).empty());
-    EXPECT_EQ(table.forget_silent(at(1 + 4 * turn)).size(), hosts - 1U);
+    const auto round = absl::ToDoubleSeconds(table.send_interval());
+    EXPECT_TRUE(table.evict_silent(at(1 + 2 * round)).empty());
+    EXPECT_EQ(table.evict_silent(at(1 + 4 * round)).size(), hosts - 1U);
 }
 
-// When all began with the first name, the holder of the duties heard of nine
-// seconds' work of 295 hosts within one tick, took it for one second's, and
-// ordered all the servers that there may be.
+// Guards against hosts that all start their rounds at the same name. The holder
+// of the duty lease then received nine seconds of work of 295 hosts within one
+// tick, took it for the work of one second, and ordered the maximum number of
+// upstreams.
 TEST(peer_table, no_machine_of_a_fleet_hears_all_others_at_once)
 {
     constexpr int hosts = 100;
-    std::vector<machine_address> fleet;
+    std::vector<host_address> fleet;
     fleet.reserve(hosts);
     for (int number = 0; number < hosts; ++number)
     {
@@ -357,8 +359,8 @@
     {
         tables.emplace_back(self, incarnation(1), peer_options());
     }
-    // They know the same three first, and then one another.
-    const auto learn = [&](std::size_t known)
+    // All hosts first know the same three, then the whole fleet.
+    const auto add_hosts = [&](std::size_t known)
     {
         for (auto& table : tables)
         {
@@ -368,65 +370,67 @@
             }
         }
     };
-    learn(3);
+    add_hosts(3);
     for (int tick = 0; tick < 7; ++tick)
     {
         for (auto& table : tables)
         {
-            (void)table.next_in_turn();
+            (void)table.next_targets();
         }
     }
-    learn(fleet.size());
-    std::map<std::string, int> heard_in_all;
+    add_hosts(fleet.size());
+    std::map<std::string, int> total_received;
     for (int tick = 0; tick < 25; ++tick)
     {
-        std::map<std::string, int> heard;
+        std::map<std::string, int> received;
         for (auto& table : tables)
         {
-            for (const auto& address : table.next_in_turn())
+            for (const auto& address : table.next_targets())
             {
-                ++heard[address];
-                ++heard_in_all[address];
+                ++received[address];
+                ++total_received[address];
             }
         }
-        for (const auto& [address, times] : heard)
+        for (const auto& [address, times] : received)
         {
             EXPECT_LE(times, 9) << address;
         }
     }
-    // Two turns: everybody was told by each of the others about twice.
-    ASSERT_EQ(heard_in_all.size(), static_cast<std::size_t>(hosts));
-    for (const auto& [address, times] : heard_in_all)
+    // 25 ticks are two rounds: each host was a target of every other at least
+    // twice.
+    ASSERT_EQ(total_received.size(), static_cast<std::size_t>(hosts));
+    for (const auto& [address, times] : total_received)
     {
         EXPECT_GE(times, 2 * (hosts - 1));
     }
 }
 
-// The holder of the duties asks each machine; whoever is asked tells its own
-// counts, and some of those of starts that are gone.
+// The holder of the duty lease requests the counts of each host, which responds
+// with its own and some of those of incarnations that no longer report.
 TEST(peer_table, tells_the_counts_of_a_window_that_it_is_asked_for)
 {
     auto table = make_table();
-    table.note_own_counts({{6, {{studio, 1}}}, {7, {{studio, 2}}}},
-                          incarnation(100000));
-    auto dead = make_state("3", 5, 6);
-    dead.counts = {{7, {{studio, 4}}}};
-    (void)table.receive(dead, at(1));
-    EXPECT_EQ(table.told_counts(7).size(), 1U) << "it tells them itself";
-    (void)table.forget_silent(at(100));
-    const std::map<counting_start, tenant_counts> expected{
+    table.merge_own_counts({{6, {{studio, 1}}}, {7, {{studio, 2}}}},
+                           incarnation(100000));
+    auto crashed = make_state("3", 5, 6);
+    crashed.counts = {{7, {{studio, 4}}}};
+    (void)table.receive(crashed, at(1));
+    EXPECT_EQ(table.reported_counts(7).size(), 1U)
+        << "a known host reports its own counts";
+    (void)table.evict_silent(at(100));
+    const std::map<host_incarnation, tenant_counts> expected{
         {{host_id("1"), incarnation(100000)}, {{studio, 2}}},
         {{host_id("3"), incarnation(5)}, {{studio, 4}}}};
-    EXPECT_EQ(table.told_counts(7), expected);
-
-    auto asker = peer_table({host_id("4"), "10.0.0.4:7"}, incarnation(1),
-                            peer_options());
-    window_counts told;
-    told.window = 7;
-    told.counts = expected;
-    asker.note_told_counts(told);
-    asker.note_told_counts(told);
-    EXPECT_EQ(asker.counts_of(7).at(studio), 6);
+    EXPECT_EQ(table.reported_counts(7), expected);
+
+    auto requester = peer_table({host_id("4"), "10.0.0.4:7"}, incarnation(1),
+                                peer_options());
+    window_counts message;
+    message.window = 7;
+    message.counts = expected;
+    requester.merge_reported_counts(message);
+    requester.merge_reported_counts(message);
+    EXPECT_EQ(requester.counts_of(7).at(studio), 6);
 }
 
 TEST(peer_table, names_two_readers_of_each_hall)
@@ -443,8 +447,8 @@
     auto cut_off = make_state("9", 5, 6);
     cut_off.hall = hall_id("south");
     (void)table.receive(cut_off, at(1));
-    EXPECT_EQ(table.readers_elsewhere(at(1)).size(), 3U);
-    EXPECT_TRUE(table.readers_elsewhere(at(100)).empty());
+    EXPECT_EQ(table.other_readers(at(1)).size(), 3U);
+    EXPECT_TRUE(table.other_readers(at(100)).empty());
 }
 
 TEST(peer_table, knows_when_the_store_last_answered_a_peer)
--- a/tests/peers/topic_records_test.cpp
+++ b/tests/peers/topic_records_test.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include <base/text.hpp>
-#include <peers/packing.hpp>
+#include <peers/compression.hpp>
 #include <peers/topic_records.hpp>
 
 namespace daleshelf
@@ -24,20 +24,19 @@
     EXPECT_EQ(read->records.front().value, std::string("\0v", 2));
 }
 
-/// @return as many records as servers would write, each with an id and an
-/// address of its own
-std::vector<shared_record> entries_of_servers(int count)
+/// @return one record per upstream, each with a unique id and address
+std::vector<shared_record> upstream_records(int count)
 {
     std::vector<shared_record> records;
-    std::uint32_t random = 1;
+    std::uint32_t random_state = 1;
     for (int index = 0; index < count; ++index)
     {
-        random = random * 1664525U + 1013904223U;
-        const auto id = concat("i-", random, index);
+        random_state = random_state * 1664525U + 1013904223U;
+        const auto id = concat("i-", random_state, index);
         records.push_back(
             {log_offset(index), id,
-             concat(R"({"service":"huvo11a","address":"10.128.)", random % 250,
-                    ".", index % 250,
+             concat(R"({"service":"huvo11a","address":"10.128.)",
+                    random_state % 250, ".", index % 250,
                     R"(:8080","zone":"sala-palermo","version":"v1","slots":96,)"
                     R"("state":"draining","coldRemainingMs":0,)"
                     R"("stage":"unified","models":[{"name":"m","version":1,)"
@@ -47,41 +46,43 @@
     return records;
 }
 
-// 1,300 servers that left at once were 0.4 MB for each of 57 hosts: over a link
-// of 20 Mbit/s it took their reader 9 s to tell them.
+// Guards against record lists that saturate the reader's link. When 1,300
+// upstreams left at once, their records were 0.4 MB for each of 57 hosts, which
+// took the reader 9 s to send over a link of 20 Mbit/s.
 TEST(topic_records, of_many_servers_are_small)
 {
-    const auto records = entries_of_servers(100);
-    std::size_t plain = 0;
+    const auto records = upstream_records(100);
+    std::size_t uncompressed_bytes = 0;
     for (const auto& record : records)
     {
-        plain += record.key.size() + record.value.size();
+        uncompressed_bytes += record.key.size() + record.value.size();
     }
-    const auto packed =
+    const auto encoded =
         encode({"keyed.servers", log_offset(0), log_offset(100), records});
-    EXPECT_LT(packed.size() * 6, plain) << packed.size() << " of " << plain;
-    const auto read = decode_shared_records(packed);
+    EXPECT_LT(encoded.size() * 6, uncompressed_bytes)
+        << encoded.size() << " of " << uncompressed_bytes;
+    const auto read = decode_shared_records(encoded);
     ASSERT_TRUE(read);
     ASSERT_EQ(read->records.size(), 100);
     EXPECT_EQ(read->records.back().value, records.back().value);
 }
 
-TEST(topic_records, that_are_damaged_are_none)
+TEST(topic_records, that_are_damaged_yield_no_records)
 {
-    const auto packed = encode({"keyed.servers", log_offset(0), log_offset(20),
-                                entries_of_servers(20)});
-    for (std::size_t size = 0; size < packed.size(); ++size)
+    const auto encoded = encode(
+        {"keyed.servers", log_offset(0), log_offset(20), upstream_records(20)});
+    for (std::size_t size = 0; size < encoded.size(); ++size)
     {
-        const auto read = decode_shared_records(packed.substr(0, size));
+        const auto read = decode_shared_records(encoded.substr(0, size));
         EXPECT_TRUE(!read || read->records.empty()) << size;
     }
-    // A frame that claims to hold 2^60 bytes.
-    EXPECT_FALSE(unpack(std::string("\x28\xb5\x2f\xfd\xe0\x00\x00\x00\x00"
-                                    "\x00\x00\x00\x10",
-                                    13)));
+    // A frame that claims a content of 2^60 bytes.
+    EXPECT_FALSE(decompress(std::string("\x28\xb5\x2f\xfd\xe0\x00\x00\x00\x00"
+                                        "\x00\x00\x00\x10",
+                                        13)));
 }
 
-// 32 servers that leave at once are 10 KB.
+// Records of 32 upstreams that leave at once are 10 KB.
 TEST(topic_records, are_told_in_parts_that_follow_one_another)
 {
     std::vector<shared_record> records;
@@ -94,16 +95,16 @@
     const auto parts = split_records("servers", log_offset(40), records, 4096);
     EXPECT_EQ(parts.size(), 3U);
     auto next = log_offset(40);
-    std::size_t told = 0;
+    std::size_t sent = 0;
     for (const auto& part : parts)
     {
         EXPECT_EQ(part.from, next);
         EXPECT_LE(encode(part).size(), 4500U);
         next = part.next;
-        told += part.records.size();
+        sent += part.records.size();
     }
     EXPECT_EQ(next, log_offset(72));
-    EXPECT_EQ(told, records.size());
+    EXPECT_EQ(sent, records.size());
 }
 
 TEST(topic_records, one_that_is_larger_than_a_part_is_a_part)
--- a/tests/quotas/quota_host.cpp
+++ b/tests/quotas/quota_host.cpp
@@ -75,7 +75,7 @@
 // To the next eight that it knows, as peer_exchange does.
 void quota_host::send_state()
 {
-    machine_state state;
+    host_state state;
     state.self = {m_self.name, m_self.name.value(), m_self.hall};
     state.started = m_self.started;
     state.hall = m_self.hall;
@@ -103,7 +103,7 @@
 
 void quota_host::receive(const std::string& bytes)
 {
-    if (const auto state = decode_machine_state(bytes))
+    if (const auto state = decode_host_state(bytes))
     {
         hear(*state);
         return;
@@ -127,7 +127,7 @@
     }
 }
 
-void quota_host::hear(const machine_state& state)
+void quota_host::hear(const host_state& state)
 {
     m_known.insert(state.self.name);
     m_quota.hear({state.self.name, state.hall, state.started, state.is_stopping,
--- a/tests/quotas/quota_host.hpp
+++ b/tests/quotas/quota_host.hpp
@@ -4,7 +4,7 @@
 
 #include "fleet_model.hpp"
 
-#include <peers/machine_state.hpp>
+#include <peers/host_state.hpp>
 #include <quotas/shared_quota.hpp>
 #include <set>
 
@@ -47,7 +47,7 @@
     void list();
     void tick();
     void send_state();
-    void hear(const machine_state& state);
+    void hear(const host_state& state);
     void go_on(const std::shared_ptr<waiting_claim>& waiting);
     void send(const addressed_quota_message& message);
 
