--- a/libraries/quotas/quota_message.cpp
+++ b/libraries/quotas/quota_message.cpp
@@ -50,7 +50,7 @@
     {
         bytes.set_born(message.limit->server.born.value());
         bytes.set_upstream_limit(*message.limit->per_second);
-        bytes.set_named_at_ms(absl::ToUnixMillis(message.limit->named_at));
+        bytes.set_named_at_ms(absl::ToUnixMillis(message.limit->advertised_at));
     }
     bytes.set_amount(message.amount);
     bytes.set_answer_to(message.answer_to);
--- a/libraries/quotas/shared_quota.cpp
+++ b/libraries/quotas/shared_quota.cpp
@@ -56,10 +56,10 @@
     m_roster.stop();
 }
 
-void shared_quota::record_answer(const limit_table::answer& seen,
+void shared_quota::record_answer(const limit_table::upstream_response& seen,
                                  absl::Time now, absl::Time time_of_day)
 {
-    if (m_limits.record_answer(seen, now, time_of_day))
+    if (m_limits.record_response(seen, now, time_of_day))
     {
         apply_limit(seen.server.id);
     }
--- a/libraries/quotas/shared_quota.hpp
+++ b/libraries/quotas/shared_quota.hpp
@@ -56,8 +56,8 @@
 
     /// Notes what an answer of an upstream says of its limit.
     /// @param time_of_day as the fleet agrees on it
-    void record_answer(const limit_table::answer& seen, absl::Time now,
-                       absl::Time time_of_day);
+    void record_answer(const limit_table::upstream_response& seen,
+                       absl::Time now, absl::Time time_of_day);
 
     /// Merges what another host knows of an upstream's limit.
     void merge_limit(const limit_record& told, absl::Time now);
--- a/libraries/upstream_limits/forward.hpp
+++ b/libraries/upstream_limits/forward.hpp
@@ -6,7 +6,7 @@
 {
 
 class limit_table;
-class return_schedule;
+class retry_schedule;
 struct limit_record;
 struct limit_update;
 
--- a/libraries/upstream_limits/limit_message.cpp
+++ b/libraries/upstream_limits/limit_message.cpp
@@ -10,16 +10,16 @@
 namespace
 {
 
-// See peers/datagram_format.hpp.
+// Format number; see peers/datagram_format.hpp.
 constexpr std::uint32_t limit_format = 8;
-constexpr int most_records = 64;
+constexpr int max_records = 64;
 
-bool is_sound(const wire::LimitRecord& item)
+bool is_valid(const wire::LimitRecord& item)
 {
-    const bool has_sound_limit =
+    const bool has_valid_limit =
         !item.has_per_second() ||
         (std::isfinite(item.per_second()) && item.per_second() >= 0);
-    return !item.server().empty() && has_sound_limit;
+    return !item.server().empty() && has_valid_limit;
 }
 
 } // namespace
@@ -33,7 +33,7 @@
         auto& item = *message.add_records();
         item.set_server(record.server.id.value());
         item.set_born(record.server.born.value());
-        item.set_named_at_ms(absl::ToUnixMillis(record.named_at));
+        item.set_named_at_ms(absl::ToUnixMillis(record.advertised_at));
         if (record.per_second)
         {
             item.set_per_second(*record.per_second);
@@ -48,7 +48,7 @@
     const bool is_message =
         message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) &&
         message.format() == limit_format &&
-        message.records_size() <= most_records;
+        message.records_size() <= max_records;
     if (!is_message)
     {
         return std::nullopt;
@@ -56,14 +56,14 @@
     std::vector<limit_record> records;
     for (const auto& item : message.records())
     {
-        if (!is_sound(item))
+        if (!is_valid(item))
         {
             continue;
         }
         limit_record record;
         record.server = {upstream_id(item.server()),
                          upstream_birth(item.born())};
-        record.named_at = absl::FromUnixMillis(item.named_at_ms());
+        record.advertised_at = absl::FromUnixMillis(item.named_at_ms());
         if (item.has_per_second())
         {
             record.per_second = item.per_second();
--- a/libraries/upstream_limits/limit_message.hpp
+++ b/libraries/upstream_limits/limit_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How gateways gossip the limits of upstreams.
+/// Datagrams in which gateways gossip the limits of upstreams.
 #pragma once
 
 #include "limit_record.hpp"
@@ -15,8 +15,7 @@
 [[nodiscard]] std::string
 encode_limits(const std::vector<limit_record>& records);
 
-/// @return the records, or nothing if the bytes are no such datagram; invalid
-/// records are left out
+/// @return the valid records, or nothing if the bytes are not such a datagram
 [[nodiscard]] std::optional<std::vector<limit_record>>
 decode_limits(std::string_view bytes);
 
--- a/libraries/upstream_limits/limit_record.hpp
+++ b/libraries/upstream_limits/limit_record.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The limit of one upstream.
+/// The limit that an upstream advertises.
 #pragma once
 
 #include <absl/time/time.h>
@@ -10,29 +10,29 @@
 namespace daleshelf
 {
 
-/// What an upstream's newest answer has said of its limit.
+/// The limit that the newest response of an upstream has advertised.
 struct limit_record
 {
     upstream_life server;
-    /// Requests a second that it takes from the whole fleet; nothing: it no
-    /// longer names a limit.
+    /// Requests per second that it accepts from the whole fleet; nothing if it
+    /// no longer advertises a limit.
     std::optional<double> per_second;
-    absl::Time named_at; ///< time of day of the answer
+    absl::Time advertised_at; ///< time of day of the response
 };
 
-/// Where a record comes from.
+/// The source of a record.
 enum class limit_origin
 {
-    answer, ///< an answer to this host
-    peer,   ///< another host
+    response, ///< a response to this host
+    peer,     ///< gossip of another host
 };
 
-/// A record that has changed, for peers and for the log.
+/// A changed record, to be gossiped and logged.
 struct limit_update
 {
     limit_record record;
-    std::optional<double> before; ///< the limit until then
-    limit_origin origin = limit_origin::answer;
+    std::optional<double> previous; ///< the limit before the change
+    limit_origin origin = limit_origin::response;
 };
 
 } // namespace daleshelf
--- a/libraries/upstream_limits/limit_table.cpp
+++ b/libraries/upstream_limits/limit_table.cpp
@@ -9,92 +9,97 @@
 namespace
 {
 
-// Within this time repetition makes up for lost updates.
-constexpr absl::Duration tombstone_time = absl::Seconds(60);
-// Bounds what a faulty peer can fill; the fleet has fewer upstreams.
-constexpr std::size_t most_entries = 8192;
-// Orders the answers of one host that come within a tick of its clock.
-constexpr absl::Duration least_step = absl::Milliseconds(1);
-
-// As it is sent, so that a record merges with its own copy to no change.
+// Records are kept for at least this time, so that repetition makes up for lost
+// updates.
+constexpr absl::Duration tombstone_lifetime = absl::Seconds(60);
+// Bounds the entries that a faulty peer can add; the fleet has fewer upstreams.
+constexpr std::size_t max_entries = 8192;
+// Orders responses to one host that arrive within one millisecond.
+constexpr absl::Duration min_step = absl::Milliseconds(1);
+
+// Rounds to the precision on the wire, so that merging a copy of a record
+// changes nothing.
 absl::Time to_whole_ms(absl::Time at)
 {
     return absl::FromUnixMillis(absl::ToUnixMillis(at));
 }
 
-bool is_newer(const limit_record& one, const limit_record& other)
+bool is_newer(const limit_record& left, const limit_record& right)
 {
-    if (one.server.is_after(other.server))
+    if (left.server.is_after(right.server))
     {
         return true;
     }
-    if (other.server.is_after(one.server))
+    if (right.server.is_after(left.server))
     {
         return false;
     }
-    if (one.named_at != other.named_at)
+    if (left.advertised_at != right.advertised_at)
     {
-        return one.named_at > other.named_at;
+        return left.advertised_at > right.advertised_at;
     }
-    // The lower limit is the safe one of two that are equally new.
+    // Of two equally new records the lower limit is the safe one.
     constexpr double unlimited = std::numeric_limits<double>::infinity();
-    return one.per_second.value_or(unlimited) <
-           other.per_second.value_or(unlimited);
+    return left.per_second.value_or(unlimited) <
+           right.per_second.value_or(unlimited);
 }
 
 } // namespace
 
-bool limit_table::record_answer(const answer& seen, absl::Time now,
-                                absl::Time time_of_day)
+bool limit_table::record_response(const upstream_response& observed,
+                                  absl::Time now, absl::Time time_of_day)
 {
-    const auto known = m_entries.find(seen.server.id);
+    const auto known = m_entries.find(observed.server.id);
     if (known == m_entries.end())
     {
-        return seen.per_second &&
-               replace({seen.server, seen.per_second, to_whole_ms(time_of_day)},
-                       limit_origin::answer, now);
+        return observed.per_second &&
+               replace({observed.server, observed.per_second,
+                        to_whole_ms(time_of_day)},
+                       limit_origin::response, now);
     }
     const auto& [record, learned_at] = known->second;
-    if (record.server.is_after(seen.server))
+    if (record.server.is_after(observed.server))
     {
         return false;
     }
-    const bool is_same_life = !seen.server.is_after(record.server);
-    const bool may_be_older = is_same_life && seen.sent_at < learned_at;
-    if (!seen.per_second && may_be_older)
+    const bool is_same_incarnation = !observed.server.is_after(record.server);
+    const bool may_be_older =
+        is_same_incarnation && observed.sent_at < learned_at;
+    if (!observed.per_second && may_be_older)
     {
         return false;
     }
-    if (is_same_life && record.per_second == seen.per_second)
+    if (is_same_incarnation && record.per_second == observed.per_second)
     {
         return false;
     }
-    const auto named_at =
-        std::max(to_whole_ms(time_of_day), record.named_at + least_step);
-    return replace({seen.server, seen.per_second, named_at},
-                   limit_origin::answer, now);
+    const auto advertised_at =
+        std::max(to_whole_ms(time_of_day), record.advertised_at + min_step);
+    return replace({observed.server, observed.per_second, advertised_at},
+                   limit_origin::response, now);
 }
 
-bool limit_table::merge(const limit_record& told, absl::Time now)
+bool limit_table::merge(const limit_record& peer_record, absl::Time now)
 {
-    const auto known = m_entries.find(told.server.id);
-    if (known == m_entries.end() && m_entries.size() >= most_entries)
+    const auto known = m_entries.find(peer_record.server.id);
+    if (known == m_entries.end() && m_entries.size() >= max_entries)
     {
         return false;
     }
-    if (known != m_entries.end() && !is_newer(told, known->second.record))
+    if (known != m_entries.end() &&
+        !is_newer(peer_record, known->second.record))
     {
         return false;
     }
-    return replace(told, limit_origin::peer, now);
+    return replace(peer_record, limit_origin::peer, now);
 }
 
 bool limit_table::replace(const limit_record& record, limit_origin origin,
                           absl::Time now)
 {
-    const auto before = limit_of(record.server.id);
+    const auto previous = limit_of(record.server.id);
     m_entries[record.server.id] = {record, now};
-    m_updates.push_back({record, before, origin});
+    m_updates.push_back({record, previous, origin});
     return true;
 }
 
@@ -110,7 +115,7 @@
     return found == m_entries.end() ? nullptr : &found->second.record;
 }
 
-std::size_t limit_table::limited() const
+std::size_t limit_table::limited_count() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_entries.begin(), m_entries.end(),
@@ -118,20 +123,20 @@
                       { return item.second.record.per_second.has_value(); }));
 }
 
-std::vector<limit_update> limit_table::take_updates(std::size_t most)
+std::vector<limit_update> limit_table::take_updates(std::size_t max_count)
 {
-    const auto count = std::min(most, m_updates.size());
+    const auto count = std::min(max_count, m_updates.size());
     const auto end = m_updates.begin() + static_cast<std::ptrdiff_t>(count);
     std::vector<limit_update> taken(m_updates.begin(), end);
     m_updates.erase(m_updates.begin(), end);
     return taken;
 }
 
-std::vector<limit_record> limit_table::next_in_turn(std::size_t most)
+std::vector<limit_record> limit_table::next_to_repeat(std::size_t max_count)
 {
     std::vector<limit_record> records;
     auto next = m_entries.upper_bound(m_last_repeated);
-    while (records.size() < std::min(most, m_entries.size()))
+    while (records.size() < std::min(max_count, m_entries.size()))
     {
         if (next == m_entries.end())
         {
@@ -144,7 +149,7 @@
     return records;
 }
 
-std::vector<limit_record> limit_table::newest(std::size_t most) const
+std::vector<limit_record> limit_table::newest(std::size_t max_count) const
 {
     std::vector<limit_record> records;
     for (const auto& [server, known] : m_entries)
@@ -155,9 +160,9 @@
         }
     }
     std::sort(records.begin(), records.end(),
-              [](const auto& one, const auto& other)
-              { return one.named_at > other.named_at; });
-    records.resize(std::min(records.size(), most));
+              [](const auto& left, const auto& right)
+              { return left.advertised_at > right.advertised_at; });
+    records.resize(std::min(records.size(), max_count));
     return records;
 }
 
@@ -165,22 +170,22 @@
 limit_table::evict(const std::function<bool(const upstream_life&)>& is_gone,
                    absl::Time now)
 {
-    std::vector<upstream_id> forgotten;
+    std::vector<upstream_id> evicted;
     for (auto known = m_entries.begin(); known != m_entries.end();)
     {
         const auto& [record, learned_at] = known->second;
         const bool is_kept =
-            now - learned_at < tombstone_time ||
+            now - learned_at < tombstone_lifetime ||
             (record.per_second.has_value() && !is_gone(record.server));
         if (is_kept)
         {
             ++known;
             continue;
         }
-        forgotten.push_back(known->first);
+        evicted.push_back(known->first);
         known = m_entries.erase(known);
     }
-    return forgotten;
+    return evicted;
 }
 
 } // namespace daleshelf
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -298,8 +298,9 @@
               static_cast<double>(m_state.poison.size()));
     meter.set("requests_proved", "Of these, proved ones, which are refused.",
               static_cast<double>(m_state.poison.proved().size()));
-    meter.set("upstreams_limited", "Upstreams that name a limit now.",
-              static_cast<double>(m_state.quota.shared().limits().limited()));
+    meter.set(
+        "upstreams_limited", "Upstreams that name a limit now.",
+        static_cast<double>(m_state.quota.shared().limits().limited_count()));
     meter.set("machines_known", "Gateways known, with this one.",
               static_cast<double>(m_peers.table().size()));
     meter.set("machines_reached", "Gateways heard lately, with this one.",
--- a/services/gateway/limit_service.cpp
+++ b/services/gateway/limit_service.cpp
@@ -74,7 +74,7 @@
         timer.expires_after(repeat_pause);
         co_await timer.async_wait(use_result);
         const auto records =
-            m_state.quota.shared().limits().next_in_turn(records_repeated);
+            m_state.quota.shared().limits().next_to_repeat(records_repeated);
         if (!records.empty())
         {
             m_peers.tell_any(encode_limits(records));
--- a/services/gateway/upstream_limiter.cpp
+++ b/services/gateway/upstream_limiter.cpp
@@ -65,7 +65,7 @@
     }
     m_passed_over.add(server.id.value());
     const auto pause =
-        pass_over_time(*limit, m_state.quota.shared().fleet_size(),
+        grant_back_off(*limit, m_state.quota.shared().fleet_size(),
                        absl::Uniform(m_state.random, 0.0, 1.0));
     m_state.choice.pass_over(server.life(), gateway_state::now() + pause);
     co_return std::nullopt;
@@ -130,17 +130,17 @@
 void apply_limit_change(gateway_state& state, const limit_update& update)
 {
     const auto& record = update.record;
-    if (record.per_second == update.before)
+    if (record.per_second == update.previous)
     {
         return;
     }
-    const bool is_own = update.origin == limit_origin::answer;
-    const auto age = state.time_of_day() - record.named_at;
+    const bool is_own = update.origin == limit_origin::response;
+    const auto age = state.time_of_day() - record.advertised_at;
     log(events::upstream_limit_changed,
         {{"server", record.server.id.value()},
          {"born", std::to_string(record.server.born.value())},
          {"limit", text_of(record.per_second)},
-         {"before", text_of(update.before)},
+         {"before", text_of(update.previous)},
          {"origin", is_own ? "answer" : "peer"},
          {"age_ms", std::to_string(absl::ToInt64Milliseconds(age))}});
     state.choice.pass_over(record.server, absl::InfinitePast());
--- a/services/gateway/upstream_limiter.hpp
+++ b/services/gateway/upstream_limiter.hpp
@@ -13,7 +13,7 @@
 #include <platform/forward.hpp>
 #include <telemetry/name_batch.hpp>
 #include <upstream_limits/limit_record.hpp>
-#include <upstream_limits/return_schedule.hpp>
+#include <upstream_limits/retry_schedule.hpp>
 
 namespace daleshelf
 {
@@ -64,7 +64,7 @@
     gateway_state& m_state;
     /// Upstreams whose limit could not be read, and which start of them.
     absl::flat_hash_map<upstream_id, upstream_birth> m_faulty;
-    absl::flat_hash_map<service_name, return_schedule> m_returns;
+    absl::flat_hash_map<service_name, retry_schedule> m_returns;
     /// Passed over since the last log line.
     name_batch m_passed_over{most_named};
 };
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -77,10 +77,11 @@
     for (const auto& record : *records)
     {
         table.merge(record, now);
-        table.record_answer({record.server, 1.0, now}, now, now);
+        table.record_response({record.server, 1.0, now}, now, now);
     }
-    require(table.limited() <= records->size(), "each upstream counts once");
-    (void)table.next_in_turn(4);
+    require(table.limited_count() <= records->size(),
+            "each upstream counts once");
+    (void)table.next_to_repeat(4);
 }
 
 constexpr std::array readers{&read_again<decode_machine_state>,
--- a/tests/upstream_limits/limit_fleet.cpp
+++ b/tests/upstream_limits/limit_fleet.cpp
@@ -178,7 +178,7 @@
 {
     constexpr std::size_t records_repeated = 12;
     const auto records =
-        m_hosts[index].quota->limits().next_in_turn(records_repeated);
+        m_hosts[index].quota->limits().next_to_repeat(records_repeated);
     if (!records.empty())
     {
         gossip_to(index, any_host(), records);
--- a/tests/upstream_limits/limit_requests.cpp
+++ b/tests/upstream_limits/limit_requests.cpp
@@ -100,7 +100,7 @@
     {
         const auto limit = host.quota->limits().limit_of(limited_upstream.id);
         host.passed_over_until =
-            m_now + pass_over_time(limit.value_or(1), host.quota->fleet_size(),
+            m_now + grant_back_off(limit.value_or(1), host.quota->fleet_size(),
                                    random(0, 1));
         return;
     }
--- a/tests/upstream_limits/limit_table_test.cpp
+++ b/tests/upstream_limits/limit_table_test.cpp
@@ -5,7 +5,7 @@
 #include <upstream_limits/limit_message.hpp>
 #include <upstream_limits/limit_pacing.hpp>
 #include <upstream_limits/limit_table.hpp>
-#include <upstream_limits/return_schedule.hpp>
+#include <upstream_limits/retry_schedule.hpp>
 
 namespace daleshelf
 {
@@ -25,33 +25,33 @@
 {
     limit_table table;
     EXPECT_FALSE(
-        table.record_answer({first, std::nullopt, at(0)}, at(0), at(0)))
+        table.record_response({first, std::nullopt, at(0)}, at(0), at(0)))
         << "there was none";
-    EXPECT_TRUE(table.record_answer({first, 2.5, at(0)}, at(1), at(1)));
+    EXPECT_TRUE(table.record_response({first, 2.5, at(0)}, at(1), at(1)));
     EXPECT_EQ(table.limit_of(server), 2.5);
-    EXPECT_FALSE(table.record_answer({first, 2.5, at(1)}, at(2), at(2)));
+    EXPECT_FALSE(table.record_response({first, 2.5, at(1)}, at(2), at(2)));
     EXPECT_TRUE(
-        table.record_answer({first, std::nullopt, at(2)}, at(3), at(3)));
+        table.record_response({first, std::nullopt, at(2)}, at(3), at(3)));
     EXPECT_FALSE(table.limit_of(server));
 }
 
 TEST(limit_table, an_answer_that_may_be_older_does_not_end_a_limit)
 {
     limit_table table;
-    table.record_answer({first, 1.0, at(0)}, at(1), at(1));
+    table.record_response({first, 1.0, at(0)}, at(1), at(1));
     EXPECT_FALSE(
-        table.record_answer({first, std::nullopt, at(0.9)}, at(2), at(2)));
+        table.record_response({first, std::nullopt, at(0.9)}, at(2), at(2)));
     EXPECT_EQ(table.limit_of(server), 1.0);
 }
 
 TEST(limit_table, a_new_incarnation_begins_without_a_limit)
 {
     limit_table table;
-    table.record_answer({first, 1.0, at(0)}, at(1), at(1));
+    table.record_response({first, 1.0, at(0)}, at(1), at(1));
     EXPECT_TRUE(
-        table.record_answer({second, std::nullopt, at(0.5)}, at(2), at(2)));
+        table.record_response({second, std::nullopt, at(0.5)}, at(2), at(2)));
     EXPECT_FALSE(table.limit_of(server));
-    EXPECT_FALSE(table.record_answer({first, 1.0, at(3)}, at(4), at(4)))
+    EXPECT_FALSE(table.record_response({first, 1.0, at(3)}, at(4), at(4)))
         << "an answer of the earlier one";
     EXPECT_FALSE(table.merge({first, 7.0, at(9)}, at(9)));
 }
@@ -69,14 +69,14 @@
 TEST(limit_table, what_is_gone_is_evicted_and_what_is_listed_stays)
 {
     limit_table table;
-    table.record_answer({first, 1.0, at(0)}, at(1), at(1));
+    table.record_response({first, 1.0, at(0)}, at(1), at(1));
     const auto is_gone = [](const upstream_life&) { return true; };
     EXPECT_TRUE(table.evict(is_gone, at(10)).empty()) << "it may be listed yet";
     EXPECT_TRUE(
         table.evict([](const upstream_life&) { return false; }, at(1000))
             .empty());
     EXPECT_EQ(table.evict(is_gone, at(1000)), std::vector{server});
-    EXPECT_EQ(table.limited(), 0U);
+    EXPECT_EQ(table.limited_count(), 0U);
 }
 
 TEST(limit_table, repetitions_take_turns)
@@ -87,8 +87,8 @@
         table.merge({{upstream_id(name), upstream_birth(1)}, 1.0, at(1)},
                     at(1));
     }
-    EXPECT_EQ(table.next_in_turn(2).front().server.id, upstream_id("a"));
-    EXPECT_EQ(table.next_in_turn(2).front().server.id, upstream_id("c"));
+    EXPECT_EQ(table.next_to_repeat(2).front().server.id, upstream_id("a"));
+    EXPECT_EQ(table.next_to_repeat(2).front().server.id, upstream_id("c"));
 }
 
 limit_record any_record()
@@ -99,7 +99,7 @@
     {
         record.per_second = *rc::gen::inRange(0, 3);
     }
-    record.named_at = at(*rc::gen::inRange(0, 4));
+    record.advertised_at = at(*rc::gen::inRange(0, 4));
     return record;
 }
 
@@ -135,7 +135,7 @@
     ASSERT_TRUE(read);
     ASSERT_EQ(read->size(), 2U);
     EXPECT_EQ(read->front().per_second, 0.5);
-    EXPECT_EQ(read->front().named_at, named.named_at);
+    EXPECT_EQ(read->front().advertised_at, named.advertised_at);
     EXPECT_EQ(read->back().server.born, second.born);
     EXPECT_FALSE(read->back().per_second);
     EXPECT_FALSE(decode_limits("no datagram"));
@@ -155,14 +155,14 @@
 
 TEST(limit_pacing, hosts_of_a_large_fleet_ask_more_rarely)
 {
-    EXPECT_LT(pass_over_time(1, 2, 0.5), pass_over_time(1, 4, 0.5));
-    EXPECT_LE(pass_over_time(0.2, 1000, 1), absl::Seconds(3));
-    EXPECT_GE(pass_over_time(500, 1, 0), absl::Milliseconds(2));
+    EXPECT_LT(grant_back_off(1, 2, 0.5), grant_back_off(1, 4, 0.5));
+    EXPECT_LE(grant_back_off(0.2, 1000, 1), absl::Seconds(3));
+    EXPECT_GE(grant_back_off(500, 1, 0), absl::Milliseconds(2));
 }
 
-TEST(return_schedule, returns_are_spread_and_bounded)
+TEST(retry_schedule, returns_are_spread_and_bounded)
 {
-    return_schedule schedule;
+    retry_schedule schedule;
     EXPECT_EQ(schedule.reserve(2, at(0)), absl::Seconds(0.5));
     EXPECT_EQ(schedule.reserve(2, at(0)), absl::Seconds(1));
     EXPECT_EQ(schedule.reserve(2, at(1)), absl::Seconds(0.5));
