--- a/benchmarks/limit_benchmark.cpp
+++ b/benchmarks/limit_benchmark.cpp
@@ -27,7 +27,7 @@
 {
     shared_quota quota(host_id("a"), hall_id("north"), incarnation(1),
                        quota_options());
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     for (int number = 0; number < upstreams; number += 3)
     {
         quota.merge_limit({upstream(number), 500, at(0)}, at(0));
--- a/libraries/quotas/forward.hpp
+++ b/libraries/quotas/forward.hpp
@@ -1,14 +1,14 @@
 /// @file
-/// Names of this package.
+/// Forward declarations of the quotas package.
 #pragma once
 
 namespace daleshelf
 {
 
-class fleet_roster;
+class fleet_membership;
 class quota_claim;
-class share_meter;
-class quota_pool;
+class credit_accumulator;
+class quota_buckets;
 class shared_quota;
 struct quota_message;
 struct quota_options;
--- a/libraries/quotas/quota_claim.hpp
+++ b/libraries/quotas/quota_claim.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One request that takes its cost from keepers.
+/// A claim of tokens for one request.
 #pragma once
 
 #include "forward.hpp"
@@ -13,14 +13,15 @@
 namespace daleshelf
 {
 
-/// A message and the host that it is for.
+/// A message and the host that it is sent to.
 struct addressed_quota_message
 {
     host_id to;
     quota_message message;
 };
 
-/// One request's way through the keepers.
+/// Acquires the cost of one request, from one keeper after the other until the
+/// cost is covered. `shared_quota` advances it.
 class quota_claim
 {
 public:
@@ -32,14 +33,14 @@
     {
     }
 
-    /// @return how many keepers were asked by datagram, and how many of them
-    /// have answered, for logs
-    [[nodiscard]] std::pair<int, int> asked_and_answered() const
+    /// @return the number of grant requests sent to other keepers, and the
+    /// number of them that were answered, for logs
+    [[nodiscard]] std::pair<int, int> exchange_counts() const
     {
-        return {m_asked, m_answered};
+        return {m_request_count, m_reply_count};
     }
 
-    /// @return what was granted so far
+    /// @return the tokens collected so far, in the subject's unit
     [[nodiscard]] double collected() const
     {
         return m_collected;
@@ -51,26 +52,27 @@
     quota_subject m_subject;
     double m_cost;
     std::vector<host_id> m_keepers;
-    std::size_t m_next = 0;
+    std::size_t m_next_keeper = 0;
     double m_collected = 0;
-    std::int64_t m_open_ask = 0; ///< its sequence; 0: none is open
-    host_id m_open_keeper;
-    double m_open_amount = 0;
-    int m_asked = 0;
-    int m_answered = 0;
+    /// Sequence of the pending grant request; 0 if none is pending.
+    std::int64_t m_pending_sequence = 0;
+    host_id m_pending_keeper;
+    double m_pending_amount = 0;
+    int m_request_count = 0;
+    int m_reply_count = 0;
 };
 
-/// What a claim does next.
+/// The next step of a claim.
 struct claim_step
 {
     enum class outcome
     {
-        granted, ///< the request is within the quota
-        refused, ///< it is not
-        asking,  ///< `ask` is to be sent, and its answer awaited
+        granted,  ///< the request is within the quota
+        rejected, ///< the request exceeds the quota
+        pending,  ///< send `request` and wait for the reply
     };
-    outcome what = outcome::refused;
-    std::optional<addressed_quota_message> ask;
+    outcome result = outcome::rejected;
+    std::optional<addressed_quota_message> request;
 };
 
 } // namespace daleshelf
--- a/libraries/quotas/quota_message.cpp
+++ b/libraries/quotas/quota_message.cpp
@@ -10,22 +10,24 @@
 namespace
 {
 
-// A host's state comes by the same socket, with format 1.
+// Differs from format 1, the host states that arrive on the same socket.
 constexpr std::uint32_t format_version = 2;
 
-bool is_amount(double value)
+bool is_valid_amount(double value)
 {
     return std::isfinite(value) && value >= 0;
 }
 
-bool is_sound(const wire::QuotaMessage& message)
+bool is_valid(const wire::QuotaMessage& message)
 {
     const auto kind = static_cast<int>(message.kind());
     return message.format() == format_version && !message.name().empty() &&
            kind >= static_cast<int>(quota_message_kind::deposit) &&
-           kind <= static_cast<int>(quota_message_kind::give_back) &&
-           is_amount(message.share()) && is_amount(message.credit()) &&
-           is_amount(message.amount()) && is_amount(message.upstream_limit());
+           kind <= static_cast<int>(quota_message_kind::release) &&
+           is_valid_amount(message.share()) &&
+           is_valid_amount(message.credit()) &&
+           is_valid_amount(message.amount()) &&
+           is_valid_amount(message.upstream_limit());
 }
 
 } // namespace
@@ -36,12 +38,12 @@
     bytes.set_format(format_version);
     bytes.set_name(message.from.value());
     bytes.set_hall(message.hall.value());
-    bytes.set_incarnation(message.started.value());
+    bytes.set_incarnation(message.sender_incarnation.value());
     bytes.set_sequence(message.sequence);
     bytes.set_kind(static_cast<std::uint32_t>(message.kind));
     bytes.set_is_stopping(message.is_stopping);
     bytes.set_fleet_size(message.fleet_size);
-    bytes.set_keeper_incarnation(message.keeper_started.value());
+    bytes.set_keeper_incarnation(message.keeper_incarnation.value());
     bytes.set_share(message.share);
     bytes.set_credit(message.credit);
     bytes.set_workspace(message.workspace.value());
@@ -53,7 +55,7 @@
         bytes.set_named_at_ms(absl::ToUnixMillis(message.limit->advertised_at));
     }
     bytes.set_amount(message.amount);
-    bytes.set_answer_to(message.answer_to);
+    bytes.set_answer_to(message.in_reply_to);
     return bytes.SerializeAsString();
 }
 
@@ -61,7 +63,7 @@
 {
     wire::QuotaMessage read;
     if (!read.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) ||
-        !is_sound(read))
+        !is_valid(read))
     {
         return std::nullopt;
     }
@@ -69,11 +71,11 @@
     message.kind = static_cast<quota_message_kind>(read.kind());
     message.from = host_id(read.name());
     message.hall = hall_id(read.hall());
-    message.started = incarnation(read.incarnation());
+    message.sender_incarnation = incarnation(read.incarnation());
     message.sequence = read.sequence();
     message.is_stopping = read.is_stopping();
     message.fleet_size = read.fleet_size();
-    message.keeper_started = incarnation(read.keeper_incarnation());
+    message.keeper_incarnation = incarnation(read.keeper_incarnation());
     message.share = read.share();
     message.credit = read.credit();
     message.workspace = workspace_id(read.workspace());
@@ -85,7 +87,7 @@
                          absl::FromUnixMillis(read.named_at_ms())};
     }
     message.amount = read.amount();
-    message.answer_to = read.answer_to();
+    message.in_reply_to = read.answer_to();
     return message;
 }
 
--- a/libraries/quotas/quota_subject.hpp
+++ b/libraries/quotas/quota_subject.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a quota limits.
+/// The subject of a quota.
 #pragma once
 
 #include <base/identifiers.hpp>
@@ -10,7 +10,7 @@
 {
 
 /// Either a workspace, whose use is limited, or an upstream, which limits the
-/// requests that it gets from the whole fleet.
+/// requests that it accepts from the whole fleet.
 struct quota_subject
 {
     workspace_id workspace;
@@ -18,13 +18,13 @@
 
     quota_subject() = default;
 
-    quota_subject(workspace_id of) // NOLINT(google-explicit-constructor)
-        : workspace(std::move(of))
+    quota_subject(workspace_id id) // NOLINT(google-explicit-constructor)
+        : workspace(std::move(id))
     {
     }
 
-    quota_subject(upstream_id of) // NOLINT(google-explicit-constructor)
-        : upstream(std::move(of))
+    quota_subject(upstream_id id) // NOLINT(google-explicit-constructor)
+        : upstream(std::move(id))
     {
     }
 
@@ -39,9 +39,9 @@
                            const quota_subject&) = default;
 
     template <typename Hash>
-    friend Hash AbslHashValue(Hash state, const quota_subject& of) // NOLINT
+    friend Hash AbslHashValue(Hash state, const quota_subject& key) // NOLINT
     {
-        return Hash::combine(std::move(state), of.workspace, of.upstream);
+        return Hash::combine(std::move(state), key.workspace, key.upstream);
     }
 };
 
--- a/libraries/quotas/shared_quota.cpp
+++ b/libraries/quotas/shared_quota.cpp
@@ -8,68 +8,75 @@
 namespace
 {
 
-// Two a second: keepers of thirty hosts read sixty.
-constexpr absl::Duration deposit_pause = absl::Milliseconds(450);
-// A deposit names a message of the keeper that is no older than this; one lost
-// datagram is borne.
-constexpr absl::Duration echo_time = absl::Seconds(1);
-// The keeper counts it within this time of that message.
-constexpr absl::Duration recent_time = absl::Milliseconds(1200);
-// How long a keeper that had too little is not asked again for that subject.
-constexpr absl::Duration short_time = absl::Milliseconds(200);
-// How long the fleet's size counts as a peer has told it, against the time in
-// which its state goes to all: one state may be lost.
-constexpr int told_states = 3;
-// Asks whose answer may still come.
-constexpr std::size_t most_late_asks = 256;
-// Rounding of sums.
-constexpr double least_amount = 1e-6;
+// About two deposits per second and host: a keeper of thirty hosts receives
+// sixty.
+constexpr absl::Duration deposit_interval = absl::Milliseconds(450);
+// A deposit refers to an acknowledgement of the keeper that is no older than
+// this; one lost datagram is tolerated.
+constexpr absl::Duration max_ack_age = absl::Seconds(1);
+// The keeper credits a deposit within this time of the acknowledgement that it
+// refers to.
+constexpr absl::Duration max_deposit_delay = absl::Milliseconds(1200);
+// A keeper that could not grant the full amount is not asked again for that
+// subject within this time.
+constexpr absl::Duration depleted_retry_delay = absl::Milliseconds(200);
+// Propagation times for which a fleet size that a peer has reported counts: one
+// lost state is tolerated.
+constexpr int reported_size_propagations = 3;
+// Bounds the timed-out grant requests whose reply may still arrive.
+constexpr std::size_t max_late_requests = 256;
+// Smaller amounts are rounding errors of sums.
+constexpr double min_amount = 1e-6;
 
 } // namespace
 
-shared_quota::shared_quota(host_id self, hall_id hall, incarnation started,
+shared_quota::shared_quota(host_id self, hall_id hall,
+                           incarnation host_incarnation,
                            const quota_options& options)
     : m_self(std::move(self))
     , m_hall(std::move(hall))
-    , m_started(started)
-    , m_roster(m_self, m_hall)
-    , m_pool(options)
-    , m_join_time(absl::Seconds(3))
+    , m_incarnation(host_incarnation)
+    , m_members(m_self, m_hall)
+    , m_buckets(options)
+    , m_join_delay(absl::Seconds(3))
 {
 }
 
-void shared_quota::note_fleet(bool was_listed, absl::Time now)
+void shared_quota::record_fleet_discovery(bool was_listed, absl::Time now)
 {
     m_fleet_known_at = std::min(m_fleet_known_at, now);
     m_was_listed = m_was_listed || was_listed;
 }
 
-void shared_quota::hear(const quota_peer& peer, absl::Time now)
+void shared_quota::update_peer(const quota_peer& peer, absl::Time now)
 {
-    m_roster.hear(peer.name, peer.hall, peer.started, peer.is_stopping, now);
-    m_told_sizes[peer.name] = {std::max<std::int64_t>(0, peer.fleet_size), now};
+    m_members.update(peer.name, peer.hall, peer.host_incarnation,
+                     peer.is_stopping, now);
+    m_reported_fleet_sizes[peer.name] = {
+        std::max<std::int64_t>(0, peer.fleet_size), now};
 }
 
 void shared_quota::stop()
 {
     m_is_stopping = true;
-    m_roster.stop();
+    m_members.stop();
 }
 
-void shared_quota::record_answer(const limit_table::upstream_response& seen,
-                                 absl::Time now, absl::Time time_of_day)
+void shared_quota::record_response(
+    const limit_table::upstream_response& response, absl::Time now,
+    absl::Time time_of_day)
 {
-    if (m_limits.record_response(seen, now, time_of_day))
+    if (m_limits.record_response(response, now, time_of_day))
     {
-        apply_limit(seen.server.id);
+        apply_limit(response.server.id);
     }
 }
 
-void shared_quota::merge_limit(const limit_record& told, absl::Time now)
+void shared_quota::merge_limit(const limit_record& peer_record, absl::Time now)
 {
-    if (m_limits.merge(told, now))
+    if (m_limits.merge(peer_record, now))
     {
-        apply_limit(told.server.id);
+        apply_limit(peer_record.server.id);
     }
 }
 
@@ -86,61 +93,65 @@
 {
     if (const auto limit = m_limits.limit_of(upstream))
     {
-        m_pool.limit_upstream(upstream, *limit);
+        m_buckets.set_upstream_limit(upstream, *limit);
         return;
     }
-    m_pool.lift_limit(upstream);
-    m_unspent.erase(upstream);
+    m_buckets.remove_limit(upstream);
+    m_unused_grants.erase(upstream);
 }
 
 std::vector<addressed_quota_message> shared_quota::tick(absl::Time now)
 {
-    m_roster.strike_gone(now);
-    std::erase_if(m_short_until,
+    m_members.evict_departed(now);
+    std::erase_if(m_depleted_until,
                   [now](const auto& entry) { return entry.second <= now; });
-    m_meter.set_share(share_at(now), now);
+    m_credit.set_share(share_at(now), now);
     std::vector<addressed_quota_message> messages;
-    const auto keeper = m_roster.keepers(now).front();
-    give_back_unused(keeper, now, messages);
+    const auto keeper = m_members.keepers(now).front();
+    release_unused(keeper, now, messages);
     if (keeper == m_self)
     {
-        m_pool.deposit({m_self, m_started, m_meter.share(),
-                        m_meter.give(m_self, m_started, now), false},
-                       now);
+        m_buckets.deposit({m_self, m_incarnation, m_credit.share(),
+                           m_credit.allocate(m_self, m_incarnation, now),
+                           false},
+                          now);
         return messages;
     }
-    if (now - m_deposited_at >= deposit_pause)
+    if (now - m_deposited_at >= deposit_interval)
     {
         messages.push_back(deposit_to(keeper, now));
     }
     return messages;
 }
 
-// A host earns once it knows how many others there are, and they of it.
+// A host accrues credit once it knows how many others there are and they know
+// of it.
 double shared_quota::share_at(absl::Time now) const
 {
     const bool is_counted =
         m_fleet_known_at <= now &&
-        (m_was_listed || now - m_fleet_known_at >= m_join_time);
+        (m_was_listed || now - m_fleet_known_at >= m_join_delay);
     if (!is_counted || m_is_stopping)
     {
         return 0;
     }
-    return 1.0 / static_cast<double>(counted_hosts(now));
+    return 1.0 / static_cast<double>(fleet_size_bound(now));
 }
 
-// The most that anybody counts: too many is safe, too few is not.
-std::size_t shared_quota::counted_hosts(absl::Time now) const
+// The largest size that any host reports: too large a fleet size is safe, too
+// small a one is not.
+std::size_t shared_quota::fleet_size_bound(absl::Time now) const
 {
-    auto most = m_roster.size();
-    for (const auto& [peer, told] : m_told_sizes)
+    auto largest = m_members.size();
+    for (const auto& [peer, reported] : m_reported_fleet_sizes)
     {
-        if (now - told.second < m_join_time * told_states)
+        if (now - reported.second < m_join_delay * reported_size_propagations)
         {
-            most = std::max(most, static_cast<std::size_t>(told.first));
+            largest =
+                std::max(largest, static_cast<std::size_t>(reported.first));
         }
     }
-    return most;
+    return largest;
 }
 
 quota_message shared_quota::new_message(quota_message_kind kind)
@@ -149,61 +160,64 @@
     message.kind = kind;
     message.from = m_self;
     message.hall = m_hall;
-    message.started = m_started;
+    message.sender_incarnation = m_incarnation;
     message.sequence = ++m_sequence;
     message.is_stopping = m_is_stopping;
-    message.fleet_size = static_cast<std::int64_t>(m_roster.size());
+    message.fleet_size = static_cast<std::int64_t>(m_members.size());
     return message;
 }
 
 addressed_quota_message shared_quota::deposit_to(const host_id& keeper,
                                                  absl::Time now)
 {
-    if (m_unseen_keeper == keeper)
+    if (m_unacknowledged_keeper == keeper)
     {
-        m_roster.note_silence(keeper, now);
+        m_members.record_timeout(keeper, now);
     }
-    m_unseen_keeper = keeper;
+    m_unacknowledged_keeper = keeper;
     m_deposited_at = now;
     auto message = new_message(quota_message_kind::deposit);
-    message.share = m_meter.share();
-    m_is_credit_held = true;
-    if (m_echo.keeper == keeper && now - m_echo.heard_at <= echo_time)
+    message.share = m_credit.share();
+    m_is_credit_withheld = true;
+    if (m_last_ack.keeper == keeper &&
+        now - m_last_ack.received_at <= max_ack_age)
     {
-        message.answer_to = m_echo.sequence;
-        message.keeper_started = m_roster.started_of(keeper);
-        message.credit = m_meter.give(keeper, message.keeper_started, now);
-        m_is_credit_held = false;
+        message.in_reply_to = m_last_ack.sequence;
+        message.keeper_incarnation = m_members.incarnation_of(keeper);
+        message.credit =
+            m_credit.allocate(keeper, message.keeper_incarnation, now);
+        m_is_credit_withheld = false;
     }
     return {keeper, std::move(message)};
 }
 
-addressed_quota_message shared_quota::return_to(const host_id& keeper,
-                                                const quota_subject& subject,
-                                                double amount)
+addressed_quota_message shared_quota::new_release(const host_id& keeper,
+                                                  const quota_subject& subject,
+                                                  double amount)
 {
-    auto message = new_message(quota_message_kind::give_back);
+    auto message = new_message(quota_message_kind::release);
     message.set_subject(subject);
     message.amount = amount;
     return {keeper, std::move(message)};
 }
 
-// What nobody here has used since the last time others may have a use for.
-void shared_quota::give_back_unused(
+// Returns grants that no request of this host has used since the last tick, so
+// that other hosts can use them.
+void shared_quota::release_unused(
     const host_id& keeper, absl::Time now,
     std::vector<addressed_quota_message>& messages)
 {
-    const auto unused = std::exchange(m_unspent, {});
+    const auto unused = std::exchange(m_unused_grants, {});
     for (const auto& [subject, amount] : unused)
     {
         if (keeper == m_self)
         {
-            m_pool.give_back(subject, amount, now);
+            m_buckets.release(subject, amount, now);
             continue;
         }
-        if (amount > least_amount)
+        if (amount > min_amount)
         {
-            messages.push_back(return_to(keeper, subject, amount));
+            messages.push_back(new_release(keeper, subject, amount));
         }
     }
 }
@@ -211,235 +225,238 @@
 std::optional<quota_message> shared_quota::receive(const quota_message& message,
                                                    absl::Time now)
 {
-    hear({message.from, message.hall, message.started, message.is_stopping,
-          message.fleet_size},
-         now);
+    update_peer({message.from, message.hall, message.sender_incarnation,
+                 message.is_stopping, message.fleet_size},
+                now);
     switch (message.kind)
     {
     case quota_message_kind::deposit:
     {
-        const bool is_late = !is_recent(message.answer_to, now);
-        if (message.keeper_started == m_started)
+        const bool is_late = !is_recent(message.in_reply_to, now);
+        if (message.keeper_incarnation == m_incarnation)
         {
-            m_pool.deposit({message.from, message.started, message.share,
-                            message.credit, is_late},
-                           now);
+            m_buckets.deposit({message.from, message.sender_incarnation,
+                               message.share, message.credit, is_late},
+                              now);
         }
-        auto seen = new_message(quota_message_kind::seen);
-        seen.answer_to = message.sequence;
-        m_seen_sent.emplace_back(seen.sequence, now);
-        return seen;
+        auto ack = new_message(quota_message_kind::deposit_ack);
+        ack.in_reply_to = message.sequence;
+        m_sent_acks.emplace_back(ack.sequence, now);
+        return ack;
     }
-    case quota_message_kind::ask:
+    case quota_message_kind::grant_request:
     {
         if (message.limit)
         {
             merge_limit(*message.limit, now);
         }
         auto grant = new_message(quota_message_kind::grant);
-        grant.answer_to = message.sequence;
+        grant.in_reply_to = message.sequence;
         grant.set_subject(message.subject());
         grant.amount = granted_for(message, now);
         return grant;
     }
-    case quota_message_kind::seen:
-        note_fleet(false, now);
-        m_echo = {message.from, message.sequence, now};
-        if (m_unseen_keeper == message.from)
+    case quota_message_kind::deposit_ack:
+        record_fleet_discovery(false, now);
+        m_last_ack = {message.from, message.sequence, now};
+        if (m_unacknowledged_keeper == message.from)
         {
-            m_unseen_keeper = host_id();
-            if (m_is_credit_held)
+            m_unacknowledged_keeper = host_id();
+            if (m_is_credit_withheld)
             {
-                // After a restart of all, requests are refused until keepers
-                // have something to give: a pause of 0.45 s sooner.
+                // The keeper needs credit before it can grant: after a restart
+                // of all hosts requests are rejected until then. Depositing
+                // again at once shortens that by 0.45 s.
                 return deposit_to(message.from, now).message;
             }
         }
         return std::nullopt;
     case quota_message_kind::grant:
-        take_grant(message);
+        receive_grant(message);
         return std::nullopt;
-    case quota_message_kind::give_back:
-        take_back(message, now);
+    case quota_message_kind::release:
+        receive_release(message, now);
         return std::nullopt;
     }
     return std::nullopt;
 }
 
-// Grants all that is asked of an upstream whose limit has ended.
-double shared_quota::granted_for(const quota_message& ask, absl::Time now)
+// Grants the full amount for an upstream whose limit has ended.
+double shared_quota::granted_for(const quota_message& request, absl::Time now)
 {
-    const auto subject = ask.subject();
+    const auto subject = request.subject();
     const bool is_unlimited =
-        subject.is_upstream() && !m_pool.is_limited(subject);
-    return is_unlimited ? ask.amount : m_pool.take(subject, ask.amount, now);
+        subject.is_upstream() && !m_buckets.is_limited(subject);
+    return is_unlimited ? request.amount
+                        : m_buckets.take(subject, request.amount, now);
 }
 
-// Whether this process has sent that message a short while ago, by its own
-// clock: what names it has not waited for this process to go on again.
+// Whether this process sent that acknowledgement recently by its own clock. A
+// deposit that refers to it was then not delayed by a pause of this process.
 bool shared_quota::is_recent(std::int64_t sequence, absl::Time now)
 {
-    while (!m_seen_sent.empty() &&
-           now - m_seen_sent.front().second > recent_time)
+    while (!m_sent_acks.empty() &&
+           now - m_sent_acks.front().second > max_deposit_delay)
     {
-        m_seen_sent.pop_front();
+        m_sent_acks.pop_front();
     }
-    return !m_seen_sent.empty() && sequence >= m_seen_sent.front().first;
+    return !m_sent_acks.empty() && sequence >= m_sent_acks.front().first;
 }
 
-// An answer that comes when nobody waits for it any more is kept for others;
-// one that comes twice counts once.
-void shared_quota::take_grant(const quota_message& message)
+// A reply that arrives after its request has timed out is kept for other
+// requests; a duplicate counts once.
+void shared_quota::receive_grant(const quota_message& message)
 {
-    const auto open = m_answers.find(message.answer_to);
-    if (open != m_answers.end())
+    const auto position = m_pending_requests.find(message.in_reply_to);
+    if (position != m_pending_requests.end())
     {
-        if (!open->second)
+        if (!position->second)
         {
-            open->second = message.amount;
+            position->second = message.amount;
         }
         return;
     }
-    if (m_late_asks.erase(message.answer_to) > 0)
+    if (m_late_requests.erase(message.in_reply_to) > 0)
     {
-        m_unspent[message.subject()] += message.amount;
+        m_unused_grants[message.subject()] += message.amount;
     }
 }
 
-void shared_quota::take_back(const quota_message& message, absl::Time now)
+void shared_quota::receive_release(const quota_message& message, absl::Time now)
 {
-    auto& last = m_last_returns[message.from];
-    const auto order = std::pair(message.started, message.sequence);
+    auto& last = m_last_releases[message.from];
+    const auto order = std::pair(message.sender_incarnation, message.sequence);
     if (last < order)
     {
         last = order;
-        m_pool.give_back(message.subject(), message.amount, now);
+        m_buckets.release(message.subject(), message.amount, now);
     }
 }
 
 quota_claim shared_quota::open_claim(const quota_subject& subject, double cost,
                                      absl::Time now) const
 {
-    return {subject, cost, m_roster.keepers(now)};
+    return {subject, cost, m_members.keepers(now)};
 }
 
 claim_step shared_quota::advance(quota_claim& claim, absl::Time now)
 {
     // 1. A subject without a limit is not counted.
-    if (!m_pool.is_limited(claim.m_subject))
+    if (!m_buckets.is_limited(claim.m_subject))
     {
         return {claim_step::outcome::granted, std::nullopt};
     }
-    // 2. What the last keeper has granted, and what is left here.
-    close_ask(claim, now);
-    spend_unspent(claim);
-    // 3. The next keeper, while something is missing.
-    while (claim.m_collected + least_amount < claim.m_cost)
+    // 2. Add what the last keeper has granted, and unused grants of this host.
+    complete_request(claim, now);
+    use_unused_grants(claim);
+    // 3. Request the missing amount from the next keeper.
+    while (claim.m_collected + min_amount < claim.m_cost)
     {
-        if (claim.m_next == claim.m_keepers.size())
+        if (claim.m_next_keeper == claim.m_keepers.size())
         {
-            // 4. Nobody has the rest: what was collected is for others.
-            m_unspent[claim.m_subject] += claim.m_collected;
-            return {claim_step::outcome::refused, std::nullopt};
+            // 4. No keeper is left: the collected tokens are kept for other
+            // requests.
+            m_unused_grants[claim.m_subject] += claim.m_collected;
+            return {claim_step::outcome::rejected, std::nullopt};
         }
-        const auto keeper = claim.m_keepers[claim.m_next++];
+        const auto keeper = claim.m_keepers[claim.m_next_keeper++];
         const auto missing = claim.m_cost - claim.m_collected;
         if (keeper == m_self)
         {
-            claim.m_collected += m_pool.take(claim.m_subject, missing, now);
+            claim.m_collected += m_buckets.take(claim.m_subject, missing, now);
             continue;
         }
-        if (is_short(keeper, claim.m_subject, now))
+        if (is_depleted(keeper, claim.m_subject, now))
         {
             continue;
         }
-        auto ask = new_message(quota_message_kind::ask);
-        ask.set_subject(claim.m_subject);
+        auto request = new_message(quota_message_kind::grant_request);
+        request.set_subject(claim.m_subject);
         if (const auto* limit = m_limits.find(claim.m_subject.upstream))
         {
-            ask.limit = *limit;
+            request.limit = *limit;
         }
-        ask.amount = missing;
-        claim.m_open_ask = ask.sequence;
-        claim.m_open_keeper = keeper;
-        claim.m_open_amount = missing;
-        ++claim.m_asked;
-        m_answers[ask.sequence] = std::nullopt;
-        return {claim_step::outcome::asking,
-                addressed_quota_message{keeper, std::move(ask)}};
+        request.amount = missing;
+        claim.m_pending_sequence = request.sequence;
+        claim.m_pending_keeper = keeper;
+        claim.m_pending_amount = missing;
+        ++claim.m_request_count;
+        m_pending_requests[request.sequence] = std::nullopt;
+        return {claim_step::outcome::pending,
+                addressed_quota_message{keeper, std::move(request)}};
     }
     return {claim_step::outcome::granted, std::nullopt};
 }
 
-void shared_quota::close_ask(quota_claim& claim, absl::Time now)
+void shared_quota::complete_request(quota_claim& claim, absl::Time now)
 {
-    const auto open = m_answers.find(claim.m_open_ask);
-    claim.m_open_ask = 0;
-    if (open == m_answers.end())
+    const auto position = m_pending_requests.find(claim.m_pending_sequence);
+    claim.m_pending_sequence = 0;
+    if (position == m_pending_requests.end())
     {
         return;
     }
-    const auto granted = open->second;
-    const auto ask = open->first;
-    m_answers.erase(open);
+    const auto granted = position->second;
+    const auto request_sequence = position->first;
+    m_pending_requests.erase(position);
     if (!granted)
     {
-        m_late_asks.insert(ask);
-        if (m_late_asks.size() > most_late_asks)
+        m_late_requests.insert(request_sequence);
+        if (m_late_requests.size() > max_late_requests)
         {
-            m_late_asks.erase(m_late_asks.begin());
+            m_late_requests.erase(m_late_requests.begin());
         }
-        m_roster.note_silence(claim.m_open_keeper, now);
+        m_members.record_timeout(claim.m_pending_keeper, now);
         return;
     }
-    ++claim.m_answered;
+    ++claim.m_reply_count;
     claim.m_collected += *granted;
-    if (*granted + least_amount < claim.m_open_amount)
+    if (*granted + min_amount < claim.m_pending_amount)
     {
-        m_short_until[{claim.m_open_keeper, claim.m_subject}] =
-            now + short_time;
+        m_depleted_until[{claim.m_pending_keeper, claim.m_subject}] =
+            now + depleted_retry_delay;
     }
 }
 
-void shared_quota::spend_unspent(quota_claim& claim)
+void shared_quota::use_unused_grants(quota_claim& claim)
 {
-    const auto found = m_unspent.find(claim.m_subject);
-    if (found == m_unspent.end())
+    const auto found = m_unused_grants.find(claim.m_subject);
+    if (found == m_unused_grants.end())
     {
         return;
     }
-    const auto spent =
-        std::min(found->second, claim.m_cost - claim.m_collected);
-    found->second -= spent;
-    claim.m_collected += spent;
+    const auto used = std::min(found->second, claim.m_cost - claim.m_collected);
+    found->second -= used;
+    claim.m_collected += used;
 }
 
 void shared_quota::refund(const quota_subject& subject, double cost)
 {
-    if (m_pool.is_limited(subject))
+    if (m_buckets.is_limited(subject))
     {
-        m_unspent[subject] += cost;
+        m_unused_grants[subject] += cost;
     }
 }
 
-bool shared_quota::has_answer(std::int64_t ask) const
+bool shared_quota::has_reply(std::int64_t request_sequence) const
 {
-    const auto open = m_answers.find(ask);
-    return open != m_answers.end() && open->second.has_value();
+    const auto position = m_pending_requests.find(request_sequence);
+    return position != m_pending_requests.end() && position->second.has_value();
 }
 
-absl::Duration shared_quota::time_to_earn(const quota_subject& subject,
-                                          double cost) const
+absl::Duration shared_quota::refill_time(const quota_subject& subject,
+                                         double cost) const
 {
-    const auto rate = m_pool.rate_of(subject);
+    const auto rate = m_buckets.rate_of(subject);
     return rate > 0 ? absl::Seconds(cost / rate) : absl::ZeroDuration();
 }
 
-bool shared_quota::is_short(const host_id& keeper, const quota_subject& subject,
-                            absl::Time now) const
+bool shared_quota::is_depleted(const host_id& keeper,
+                               const quota_subject& subject,
+                               absl::Time now) const
 {
-    const auto found = m_short_until.find({keeper, subject});
-    return found != m_short_until.end() && now < found->second;
+    const auto found = m_depleted_until.find({keeper, subject});
+    return found != m_depleted_until.end() && now < found->second;
 }
 
 } // namespace daleshelf
--- a/libraries/quotas/shared_quota.hpp
+++ b/libraries/quotas/shared_quota.hpp
@@ -2,12 +2,12 @@
 /// Quotas that all hosts share, as one host sees them.
 #pragma once
 
-#include "fleet_roster.hpp"
+#include "credit_accumulator.hpp"
+#include "fleet_membership.hpp"
+#include "quota_buckets.hpp"
 #include "quota_claim.hpp"
 #include "quota_message.hpp"
-#include "quota_pool.hpp"
 #include "quota_subject.hpp"
-#include "share_meter.hpp"
 
 #include <deque>
 #include <functional>
@@ -20,53 +20,55 @@
 namespace daleshelf
 {
 
-/// What a peer tells of itself.
+/// The state of a peer, as its messages report it.
 struct quota_peer
 {
     host_id name;
     hall_id hall;
-    incarnation started;
+    incarnation host_incarnation;
     bool is_stopping = false;
-    std::int64_t fleet_size = 0; ///< hosts that it counts, with itself
+    /// Number of hosts that the peer knows of, including itself.
+    std::int64_t fleet_size = 0;
 };
 
-/// Limits what a workspace uses through all hosts together. Each host earns
-/// its share of the time and gives it to the keeper of its hall; keepers turn
-/// it into parts of each workspace's quota, and every request takes its cost
-/// from a keeper before it runs. What is granted is never more than the time
-/// that passed is worth, whatever is lost, late, killed or cut off: nothing is
-/// inferred from what others are believed to have used. Free of I/O. See
-/// docs/design/quotas.md.
+/// Limits the use of workspaces, and the requests to upstreams, across all
+/// hosts. Each host accrues time credit for its share of the fleet and deposits
+/// it with the keeper of its hall. Keepers refill their token buckets from
+/// deposits, and each request takes its cost from a keeper before it runs. Lost
+/// or late messages, crashes and partitions never raise the granted total above
+/// what the passed time allows: nothing is inferred from the assumed use of
+/// others. Does no I/O. See docs/design/quotas.md.
 class shared_quota
 {
 public:
-    shared_quota(host_id self, hall_id hall, incarnation started,
+    shared_quota(host_id self, hall_id hall, incarnation host_incarnation,
                  const quota_options& options);
 
-    /// Takes the limits of a new configuration.
+    /// Replaces the limits of workspaces by those of a new configuration.
     void set_limits(const std::vector<ingress_tenant>& workspaces)
     {
-        m_pool.set_limits(workspaces);
+        m_buckets.set_limits(workspaces);
     }
 
-    /// The fleet as the store lists it, or as a peer does.
-    /// @param was_listed whether this host was in the list before its start:
-    /// then all others count it already
-    void note_fleet(bool was_listed, absl::Time now);
+    /// Records that the hosts of the fleet are known, from the store's list or
+    /// from a peer.
+    /// @param was_listed whether the list contained this host before this
+    /// process started; all others then count it already
+    void record_fleet_discovery(bool was_listed, absl::Time now);
 
-    /// Notes what an answer of an upstream says of its limit.
-    /// @param time_of_day as the fleet agrees on it
-    void record_answer(const limit_table::upstream_response& seen,
-                       absl::Time now, absl::Time time_of_day);
+    /// Records what a response of an upstream says about its limit.
+    /// @param time_of_day time of day that the fleet agrees on
+    void record_response(const limit_table::upstream_response& response,
+                         absl::Time now, absl::Time time_of_day);
 
-    /// Merges what another host knows of an upstream's limit.
-    void merge_limit(const limit_record& told, absl::Time now);
+    /// Merges another host's record of an upstream's limit.
+    void merge_limit(const limit_record& peer_record, absl::Time now);
 
-    /// Forgets limits of upstreams that are gone.
+    /// Drops the limits of upstreams that are gone.
     void evict_limits(const std::function<bool(const upstream_life&)>& is_gone,
                       absl::Time now);
 
-    /// @return the limits of upstreams, as far as known here
+    /// @return the known limits of upstreams
     [[nodiscard]] limit_table& limits()
     {
         return m_limits;
@@ -77,81 +79,93 @@
         return m_limits;
     }
 
-    /// A peer is heard.
-    void hear(const quota_peer& peer, absl::Time now);
+    /// Updates the membership and the reported fleet size from a peer's
+    /// message.
+    void update_peer(const quota_peer& peer, absl::Time now);
 
-    [[nodiscard]] fleet_roster& roster()
+    [[nodiscard]] fleet_membership& members()
     {
-        return m_roster;
+        return m_members;
     }
 
-    /// Sets how long it takes until all others have heard of a new host.
-    void set_join_time(absl::Duration time)
+    /// Sets the time after which all others know a new host; the new host
+    /// accrues credit only then.
+    void set_join_delay(absl::Duration time)
     {
-        m_join_time = time;
-        m_roster.set_state_time(time);
+        m_join_delay = time;
+        m_members.set_propagation_time(time);
     }
 
-    /// Begins the end of this process.
+    /// Starts the shutdown of this process: it accrues no more credit, and
+    /// keeps buckets only if no other host of its hall can.
     void stop();
 
-    /// To be called several times a second.
-    /// @return what is to be sent
+    /// Accrues credit, deposits it and returns unused tokens; to be called
+    /// several times a second.
+    /// @return the messages to send
     [[nodiscard]] std::vector<addressed_quota_message> tick(absl::Time now);
 
-    /// @return an answer to the sender, if there is one
+    /// Processes a message.
+    /// @return a reply to the sender, if there is one
     [[nodiscard]] std::optional<quota_message>
     receive(const quota_message& message, absl::Time now);
 
-    /// Begins to take a request's cost.
+    /// Opens a claim for the cost of a request.
+    /// @param cost in the subject's unit
     [[nodiscard]] quota_claim open_claim(const quota_subject& subject,
                                          double cost, absl::Time now) const;
 
-    /// Goes on: at first, when an answer has come, and when none has come in
-    /// time.
+    /// Advances a claim: at first, when a reply has arrived, and when none has
+    /// arrived in time.
     [[nodiscard]] claim_step advance(quota_claim& claim, absl::Time now);
 
-    /// Gives back what a request took that has not run.
+    /// Returns the tokens of a request that was not run; other requests of this
+    /// host use them, or the next tick returns them to the keeper.
+    /// @param cost in the subject's unit
     void refund(const quota_subject& subject, double cost);
 
-    /// @return whether the answer to an ask has come
-    [[nodiscard]] bool has_answer(std::int64_t ask) const;
+    /// @return whether the reply to a grant request has arrived
+    /// @param request_sequence sequence of the grant request
+    [[nodiscard]] bool has_reply(std::int64_t request_sequence) const;
 
-    /// @return the time in which the subject's whole quota earns the cost
-    [[nodiscard]] absl::Duration time_to_earn(const quota_subject& subject,
-                                              double cost) const;
+    /// @return the time in which the subject's whole quota refills by the cost;
+    /// zero if the subject has no limit
+    [[nodiscard]] absl::Duration refill_time(const quota_subject& subject,
+                                             double cost) const;
 
-    /// @return what this host keeps for others
-    [[nodiscard]] quota_pool& pool()
+    /// @return the token buckets that this host keeps
+    [[nodiscard]] quota_buckets& buckets()
     {
-        return m_pool;
+        return m_buckets;
     }
 
-    /// @return this host's share of the fleet's time; 0: not yet known
+    /// @return this host's share of the fleet; 0 until it is known
     [[nodiscard]] double share() const
     {
-        return m_meter.share();
+        return m_credit.share();
     }
 
-    /// @return the most hosts that this one, or a peer heard lately, counts:
-    /// what is divided by it is shared by no more, also while halls are cut off
-    [[nodiscard]] std::size_t counted_hosts(absl::Time now) const;
+    /// @return an upper bound of the fleet size: the largest number of hosts
+    /// that this host or a recently heard peer knows of. Shares of 1 over this
+    /// number never add up to more than the whole, even while halls are cut
+    /// off.
+    [[nodiscard]] std::size_t fleet_size_bound(absl::Time now) const;
 
-    /// @return hosts of the fleet that this one knows of, with itself
+    /// @return the number of known hosts of the fleet, including this one
     [[nodiscard]] std::size_t fleet_size() const
     {
-        return m_roster.size();
+        return m_members.size();
     }
 
 private:
-    using short_key = std::pair<host_id, quota_subject>;
+    using depleted_key = std::pair<host_id, quota_subject>;
 
-    /// The newest message of a keeper.
-    struct keeper_echo
+    /// The newest deposit acknowledgement of a keeper.
+    struct keeper_ack
     {
         host_id keeper;
         std::int64_t sequence = 0;
-        absl::Time heard_at = absl::InfinitePast();
+        absl::Time received_at = absl::InfinitePast();
     };
 
     [[nodiscard]] double share_at(absl::Time now) const;
@@ -159,50 +173,53 @@
     [[nodiscard]] addressed_quota_message deposit_to(const host_id& keeper,
                                                      absl::Time now);
     [[nodiscard]] addressed_quota_message
-    return_to(const host_id& keeper, const quota_subject& subject,
-              double amount);
-    void give_back_unused(const host_id& keeper, absl::Time now,
-                          std::vector<addressed_quota_message>& messages);
+    new_release(const host_id& keeper, const quota_subject& subject,
+                double amount);
+    void release_unused(const host_id& keeper, absl::Time now,
+                        std::vector<addressed_quota_message>& messages);
     void apply_limit(const upstream_id& upstream);
-    [[nodiscard]] double granted_for(const quota_message& ask, absl::Time now);
+    [[nodiscard]] double granted_for(const quota_message& request,
+                                     absl::Time now);
     [[nodiscard]] bool is_recent(std::int64_t sequence, absl::Time now);
-    void take_grant(const quota_message& message);
-    void take_back(const quota_message& message, absl::Time now);
-    void close_ask(quota_claim& claim, absl::Time now);
-    void spend_unspent(quota_claim& claim);
-    [[nodiscard]] bool is_short(const host_id& keeper,
-                                const quota_subject& subject,
-                                absl::Time now) const;
+    void receive_grant(const quota_message& message);
+    void receive_release(const quota_message& message, absl::Time now);
+    void complete_request(quota_claim& claim, absl::Time now);
+    void use_unused_grants(quota_claim& claim);
+    [[nodiscard]] bool is_depleted(const host_id& keeper,
+                                   const quota_subject& subject,
+                                   absl::Time now) const;
 
     host_id m_self;
     hall_id m_hall;
-    incarnation m_started;
+    incarnation m_incarnation;
     bool m_is_stopping = false;
-    fleet_roster m_roster;
-    share_meter m_meter;
-    quota_pool m_pool;
+    fleet_membership m_members;
+    credit_accumulator m_credit;
+    quota_buckets m_buckets;
     limit_table m_limits;
     std::int64_t m_sequence = 0;
-    absl::Duration m_join_time;
+    absl::Duration m_join_delay;
     absl::Time m_fleet_known_at = absl::InfiniteFuture();
     bool m_was_listed = false;
-    /// What each peer has told of the fleet's size, and when.
-    std::map<host_id, std::pair<std::int64_t, absl::Time>> m_told_sizes;
+    /// The fleet size that each peer has reported, and when.
+    std::map<host_id, std::pair<std::int64_t, absl::Time>>
+        m_reported_fleet_sizes;
     absl::Time m_deposited_at = absl::InfinitePast();
-    host_id m_unseen_keeper; ///< to whom a deposit is on its way
-    /// Whether the last deposit named no answer of its keeper, and so no
-    /// credit.
-    bool m_is_credit_held = false;
-    keeper_echo m_echo;
-    /// What this keeper has answered lately: sequences and times.
-    std::deque<std::pair<std::int64_t, absl::Time>> m_seen_sent;
-    std::map<quota_subject, double> m_unspent;
-    /// Granted amounts of open asks, by sequence; nothing: no answer yet.
-    std::map<std::int64_t, std::optional<double>> m_answers;
-    std::set<std::int64_t> m_late_asks;
-    /// The newest of each host that was taken.
-    std::map<host_id, std::pair<incarnation, std::int64_t>> m_last_returns;
-    std::map<short_key, absl::Time> m_short_until;
+    host_id m_unacknowledged_keeper; ///< whose deposit is not yet acknowledged
+    /// Whether the last deposit carried no credit because no recent
+    /// acknowledgement of its keeper was known.
+    bool m_is_credit_withheld = false;
+    keeper_ack m_last_ack;
+    /// Sequences and times of recently sent acknowledgements.
+    std::deque<std::pair<std::int64_t, absl::Time>> m_sent_acks;
+    std::map<quota_subject, double> m_unused_grants;
+    /// Granted amounts of pending grant requests, by sequence; nothing if no
+    /// reply has arrived.
+    std::map<std::int64_t, std::optional<double>> m_pending_requests;
+    std::set<std::int64_t> m_late_requests;
+    /// The newest processed release of each host.
+    std::map<host_id, std::pair<incarnation, std::int64_t>> m_last_releases;
+    std::map<depleted_key, absl::Time> m_depleted_until;
 };
 
 } // namespace daleshelf
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -308,7 +308,7 @@
     meter.set("quota_share", "Of the fleet's time, that this gateway earns.",
               m_state.quota.shared().share());
     meter.set("quota_kept", "Of the fleet's time, that this gateway keeps.",
-              m_state.quota.shared().pool().weight(now));
+              m_state.quota.shared().buckets().weight(now));
     meter.set("quota_machines", "Gateways that quotas are shared by.",
               static_cast<double>(m_state.quota.shared().fleet_size()));
     meter.set("suspended_seconds", "For which the machine was suspended.",
--- a/services/gateway/host_list.cpp
+++ b/services/gateway/host_list.cpp
@@ -62,8 +62,8 @@
             const auto listed = co_await list_hosts(caller);
             if (listed)
             {
-                m_state.quota.shared().note_fleet(was_listed,
-                                                  gateway_state::now());
+                m_state.quota.shared().record_fleet_discovery(
+                    was_listed, gateway_state::now());
                 m_state.knows_hosts = true;
                 co_return;
             }
@@ -114,8 +114,8 @@
         blank == std::string::npos ? std::string() : value.substr(blank + 1);
     const machine_address host{host_id(record.key), value.substr(0, blank),
                                hall_id(hall)};
-    m_state.quota.shared().roster().list(host.name, host.hall,
-                                         gateway_state::now());
+    m_state.quota.shared().members().add_host(host.name, host.hall,
+                                              gateway_state::now());
     m_found(host);
 }
 
--- a/services/gateway/peer_exchange.cpp
+++ b/services/gateway/peer_exchange.cpp
@@ -215,11 +215,12 @@
         }
         log_joined();
         m_state.clock.note(m_state.self, wall_time(), now);
-        m_state.quota.shared().set_join_time(m_table.send_pause() +
-                                             join_margin);
+        m_state.quota.shared().set_join_delay(m_table.send_pause() +
+                                              join_margin);
         m_state.quota.tick();
         m_state.engines.refresh();
-        m_state.retries.set_machines(m_state.quota.shared().counted_hosts(now));
+        m_state.retries.set_machines(
+            m_state.quota.shared().fleet_size_bound(now));
         m_state.change_pause =
             std::clamp(absl::ToChronoMilliseconds(m_table.send_pause() / 3),
                        least_change_pause,
--- a/services/gateway/peer_states.cpp
+++ b/services/gateway/peer_states.cpp
@@ -78,13 +78,13 @@
     m_state.clock.note(state.self.name,
                        absl::FromUnixMillis(state.wall_time_ms), now);
     auto& quota = m_state.quota.shared();
-    quota.hear({state.self.name, state.hall, state.started, state.is_stopping,
-                state.fleet_size},
-               now);
+    quota.update_peer({state.self.name, state.hall, state.started,
+                       state.is_stopping, state.fleet_size},
+                      now);
     for (const auto& machine : state.machines)
     {
         m_table.add_address(machine, now);
-        quota.roster().list(machine.name, machine.hall, now);
+        quota.members().add_host(machine.name, machine.hall, now);
     }
     absl::flat_hash_map<upstream_id, server_load> loads;
     for (const auto& load : state.loads)
--- a/services/gateway/quota_service.cpp
+++ b/services/gateway/quota_service.cpp
@@ -31,18 +31,18 @@
     while (true)
     {
         const auto step = m_quota.advance(claim, now());
-        if (step.what != claim_step::outcome::asking)
+        if (step.result != claim_step::outcome::pending)
         {
             quota_verdict verdict;
-            verdict.is_within = step.what == claim_step::outcome::granted;
+            verdict.is_within = step.result == claim_step::outcome::granted;
             verdict.how = describe(claim);
             co_return verdict;
         }
-        const auto ask = step.ask->message.sequence;
+        const auto ask = step.request->message.sequence;
         const auto answered =
             std::make_shared<async_event>(m_context.get_executor());
         m_waiting[ask] = answered;
-        send(*step.ask);
+        send(*step.request);
         co_await answered->wait_for(ask_time);
         m_waiting.erase(ask);
     }
@@ -60,8 +60,8 @@
 std::string quota_service::receive(const quota_message& message)
 {
     const auto reply = m_quota.receive(message, now());
-    const auto waiting = m_waiting.find(message.answer_to);
-    if (waiting != m_waiting.end() && m_quota.has_answer(message.answer_to))
+    const auto waiting = m_waiting.find(message.in_reply_to);
+    if (waiting != m_waiting.end() && m_quota.has_reply(message.in_reply_to))
     {
         waiting->second->notify();
     }
@@ -76,7 +76,7 @@
 
 std::string quota_service::describe(const quota_claim& claim) const
 {
-    const auto [asked, answered] = claim.asked_and_answered();
+    const auto [asked, answered] = claim.exchange_counts();
     return concat("collected ", whole(claim.collected()), ", asked ", asked,
                   ", answered ", answered, ", hosts ", m_quota.fleet_size(),
                   ", share ", std::to_string(m_quota.share()));
@@ -94,20 +94,20 @@
 // refused since the last one.
 void quota_service::log_pools()
 {
-    for (const auto& [workspace, state] : m_quota.pool().states())
+    for (const auto& [workspace, state] : m_quota.buckets().states())
     {
         auto& logged = m_logged_refused[workspace];
-        if (state.refused <= logged)
+        if (state.rejected <= logged)
         {
             continue;
         }
-        logged = state.refused;
+        logged = state.rejected;
         log(events::quota_view,
             {{"workspace", workspace.value()},
              {"balance", whole(state.balance)},
              {"granted", whole(state.granted)},
-             {"refused", whole(state.refused)},
-             {"weight", std::to_string(m_quota.pool().weight(now()))},
+             {"refused", whole(state.rejected)},
+             {"weight", std::to_string(m_quota.buckets().weight(now()))},
              {"hosts", std::to_string(m_quota.fleet_size())}});
     }
 }
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -124,7 +124,7 @@
         if (!verdict.is_within)
         {
             const auto wait =
-                absl::ToChronoMilliseconds(m_state.quota.shared().time_to_earn(
+                absl::ToChronoMilliseconds(m_state.quota.shared().refill_time(
                     m_tenant->name, m_quota_cost));
             co_await refuse(
                 http_status::too_many_requests, "quota",
--- a/services/gateway/upstream_limiter.cpp
+++ b/services/gateway/upstream_limiter.cpp
@@ -33,8 +33,8 @@
         return;
     }
     auto& quota = m_state.quota.shared();
-    quota.record_answer({server.life(), notice.limit, sent_at},
-                        gateway_state::now(), m_state.time_of_day());
+    quota.record_response({server.life(), notice.limit, sent_at},
+                          gateway_state::now(), m_state.time_of_day());
     if (quota.limits().has_updates())
     {
         m_state.limit_updates.notify();
--- a/tests/fuzz/make_corpus.cpp
+++ b/tests/fuzz/make_corpus.cpp
@@ -99,7 +99,7 @@
     counts.window = 7;
     inputs.add(2, encode(counts));
     quota_message ask;
-    ask.kind = quota_message_kind::ask;
+    ask.kind = quota_message_kind::grant_request;
     ask.workspace = workspace_id("w");
     ask.amount = 12.5;
     inputs.add(3, encode(ask));
--- a/tests/gateway/quota_service_test.cpp
+++ b/tests/gateway/quota_service_test.cpp
@@ -19,8 +19,8 @@
     workspace.name = studio;
     workspace.limit = {1000, 1000};
     quota.set_limits({workspace});
-    quota.roster().hear(keeper, hall, incarnation(1), false,
-                        gateway_state::now());
+    quota.members().update(keeper, hall, incarnation(1), false,
+                           gateway_state::now());
     quota.stop();
     return quota;
 }
@@ -58,7 +58,7 @@
             auto grant = *decode_quota_message(bytes);
             grant.kind = quota_message_kind::grant;
             grant.from = keeper;
-            grant.answer_to = grant.sequence;
+            grant.in_reply_to = grant.sequence;
             asio::post(m_context, [this, grant]
                        { EXPECT_EQ(m_service.receive(grant), ""); });
         });
@@ -75,7 +75,7 @@
             auto grant = *decode_quota_message(bytes);
             grant.kind = quota_message_kind::grant;
             grant.from = keeper;
-            grant.answer_to = grant.sequence;
+            grant.in_reply_to = grant.sequence;
             grant.amount /= 2;
             asio::post(m_context,
                        [this, grant] { (void)m_service.receive(grant); });
@@ -100,7 +100,7 @@
 TEST_F(quota_service_test, answers_the_asks_of_others)
 {
     quota_message ask;
-    ask.kind = quota_message_kind::ask;
+    ask.kind = quota_message_kind::grant_request;
     ask.from = keeper;
     ask.hall = hall;
     ask.sequence = 5;
@@ -109,7 +109,7 @@
     const auto grant = decode_quota_message(m_service.receive(ask));
     ASSERT_TRUE(grant);
     EXPECT_EQ(grant->kind, quota_message_kind::grant);
-    EXPECT_EQ(grant->answer_to, 5);
+    EXPECT_EQ(grant->in_reply_to, 5);
     EXPECT_EQ(grant->amount, 0) << "nobody gave it anything";
 }
 
@@ -136,7 +136,7 @@
         {
             auto& quota = m_state.quota.shared();
             const auto now = gateway_state::now();
-            quota.note_fleet(true, now - absl::Seconds(2));
+            quota.record_fleet_discovery(true, now - absl::Seconds(2));
             (void)quota.tick(now - absl::Seconds(1));
             (void)quota.tick(now);
         });
--- a/tests/gateway/server_limit_test.cpp
+++ b/tests/gateway/server_limit_test.cpp
@@ -132,7 +132,7 @@
             [&]
             {
                 auto& quota = m_state.quota.shared();
-                quota.note_fleet(true, gateway_state::now());
+                quota.record_fleet_discovery(true, gateway_state::now());
                 m_state.quota.tick();
             });
     }
--- a/tests/quotas/quota_host.cpp
+++ b/tests/quotas/quota_host.cpp
@@ -51,13 +51,13 @@
 {
     for (const auto& [name, hall] : m_model.listed())
     {
-        m_quota.roster().list(name, hall, m_model.now());
+        m_quota.members().add_host(name, hall, m_model.now());
         if (name != m_self.name)
         {
             m_known.insert(name);
         }
     }
-    m_quota.note_fleet(!m_self.is_first_start, m_model.now());
+    m_quota.record_fleet_discovery(!m_self.is_first_start, m_model.now());
 }
 
 void quota_host::tick()
@@ -118,8 +118,8 @@
     {
         send({message->from, std::move(*reply)});
     }
-    const auto waiting = m_waiting.find(message->answer_to);
-    if (waiting != m_waiting.end() && m_quota.has_answer(message->answer_to))
+    const auto waiting = m_waiting.find(message->in_reply_to);
+    if (waiting != m_waiting.end() && m_quota.has_reply(message->in_reply_to))
     {
         const auto claim = waiting->second;
         m_waiting.erase(waiting);
@@ -130,9 +130,9 @@
 void quota_host::hear(const machine_state& state)
 {
     m_known.insert(state.self.name);
-    m_quota.hear({state.self.name, state.hall, state.started, state.is_stopping,
-                  state.fleet_size},
-                 m_model.now());
+    m_quota.update_peer({state.self.name, state.hall, state.started,
+                         state.is_stopping, state.fleet_size},
+                        m_model.now());
 }
 
 void quota_host::take(double cost, std::function<void(bool)> answer)
@@ -145,13 +145,13 @@
 void quota_host::go_on(const std::shared_ptr<waiting_claim>& waiting)
 {
     const auto step = m_quota.advance(waiting->claim, m_model.now());
-    if (step.what != claim_step::outcome::asking)
+    if (step.result != claim_step::outcome::pending)
     {
-        waiting->answer(step.what == claim_step::outcome::granted);
+        waiting->answer(step.result == claim_step::outcome::granted);
         return;
     }
-    send(*step.ask);
-    const auto ask = step.ask->message.sequence;
+    send(*step.request);
+    const auto ask = step.request->message.sequence;
     m_waiting[ask] = waiting;
     m_model.after(m_self.name, ask_time,
                   [this, ask]
--- a/tests/quotas/shared_quota_test.cpp
+++ b/tests/quotas/shared_quota_test.cpp
@@ -46,7 +46,7 @@
     {
         auto claim = quota.open_claim(studio, cost, now);
         const auto step = quota.advance(claim, now);
-        if (step.what != claim_step::outcome::granted)
+        if (step.result != claim_step::outcome::granted)
         {
             return taken;
         }
@@ -66,7 +66,7 @@
 {
     auto quota = make_quota("1");
     auto claim = quota.open_claim(workspace_id("other"), 1e12, at(0));
-    EXPECT_EQ(quota.advance(claim, at(0)).what, claim_step::outcome::granted);
+    EXPECT_EQ(quota.advance(claim, at(0)).result, claim_step::outcome::granted);
 }
 
 TEST(shared_quota, a_host_that_knows_no_fleet_earns_nothing)
@@ -79,8 +79,8 @@
 TEST(shared_quota, a_new_host_earns_once_all_have_heard_of_it)
 {
     auto quota = make_quota("1");
-    quota.set_join_time(absl::Seconds(3));
-    quota.note_fleet(false, at(0));
+    quota.set_join_delay(absl::Seconds(3));
+    quota.record_fleet_discovery(false, at(0));
     run(quota, 0, 2.9);
     EXPECT_EQ(take_all(quota, at(2.9)), 0);
     run(quota, 3, 6);
@@ -91,7 +91,7 @@
 TEST(shared_quota, a_host_that_starts_again_begins_empty_and_earns)
 {
     auto quota = make_quota("1");
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     (void)quota.tick(at(0));
     EXPECT_EQ(take_all(quota, at(0)), 0);
     (void)quota.tick(at(0.2));
@@ -103,7 +103,7 @@
 TEST(shared_quota, holds_what_is_borne_and_earns_the_limit_of_a_window)
 {
     auto quota = make_quota("1");
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     run(quota, 0, 60.1);
     // Small requests find what is held, a large one the overdraft besides.
     EXPECT_NEAR(take_all(quota, at(60)), held * 0.7, 10);
@@ -120,7 +120,7 @@
 TEST(shared_quota, a_request_larger_than_what_is_held_overdraws_it_once)
 {
     auto quota = make_quota("1");
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     run(quota, 0, 60.1);
     EXPECT_EQ(take_all(quota, at(60), held - 10), held - 10);
     (void)quota.tick(at(60.1));
@@ -130,7 +130,7 @@
 TEST(shared_quota, a_lower_limit_holds_at_once)
 {
     auto quota = make_quota("1");
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     run(quota, 0, 60);
     quota.set_limits(workspaces_with(rate / 10));
     EXPECT_LE(take_all(quota, at(60)), held / 10 + 10);
@@ -139,7 +139,7 @@
 TEST(shared_quota, a_request_that_has_not_run_is_given_back)
 {
     auto quota = make_quota("1");
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     run(quota, 0, 60);
     take_all(quota, at(60));
     quota.refund(studio, 100);
@@ -151,9 +151,9 @@
     auto quota = make_quota("1");
     for (int number = 2; number <= 10; ++number)
     {
-        quota.roster().list(host_id(std::to_string(number)), south, at(0));
+        quota.members().add_host(host_id(std::to_string(number)), south, at(0));
     }
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     (void)quota.tick(at(0));
     EXPECT_DOUBLE_EQ(quota.share(), 0.1);
 }
@@ -162,12 +162,12 @@
 TEST(shared_quota, counts_as_many_hosts_as_any_peer_does)
 {
     auto quota = make_quota("1");
-    quota.note_fleet(true, at(0));
-    quota.hear({host_id("2"), north, incarnation(1), false, 8}, at(0));
+    quota.record_fleet_discovery(true, at(0));
+    quota.update_peer({host_id("2"), north, incarnation(1), false, 8}, at(0));
     (void)quota.tick(at(0));
     EXPECT_DOUBLE_EQ(quota.share(), 1.0 / 8);
     // Two of them were struck off since.
-    quota.hear({host_id("2"), north, incarnation(1), false, 6}, at(1));
+    quota.update_peer({host_id("2"), north, incarnation(1), false, 6}, at(1));
     (void)quota.tick(at(1));
     EXPECT_DOUBLE_EQ(quota.share(), 1.0 / 6);
 }
@@ -176,9 +176,9 @@
 TEST(shared_quota, in_a_large_fleet_what_was_told_counts_for_longer)
 {
     auto quota = make_quota("1");
-    quota.set_join_time(absl::Seconds(18));
-    quota.note_fleet(true, at(0));
-    quota.hear({host_id("2"), north, incarnation(1), false, 580}, at(0));
+    quota.set_join_delay(absl::Seconds(18));
+    quota.record_fleet_discovery(true, at(0));
+    quota.update_peer({host_id("2"), north, incarnation(1), false, 580}, at(0));
     (void)quota.tick(at(35));
     EXPECT_DOUBLE_EQ(quota.share(), 1.0 / 580);
 }
@@ -186,22 +186,23 @@
 TEST(shared_quota, a_host_behind_a_cut_keeps_its_share)
 {
     auto quota = make_quota("1");
-    quota.roster().hear(host_id("2"), north, incarnation(1), false, at(0));
+    quota.members().update(host_id("2"), north, incarnation(1), false, at(0));
     for (const auto* name : {"3", "4"})
     {
-        quota.roster().hear(host_id(name), south, incarnation(1), false, at(0));
+        quota.members().update(host_id(name), south, incarnation(1), false,
+                               at(0));
     }
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     // Nobody of the other hall is heard for an hour; the neighbour is.
     for (double second = 0; second < 3600; second += 5)
     {
-        quota.roster().hear(host_id("2"), north, incarnation(1), false,
-                            at(second));
+        quota.members().update(host_id("2"), north, incarnation(1), false,
+                               at(second));
         (void)quota.tick(at(second));
     }
     EXPECT_DOUBLE_EQ(quota.share(), 0.25);
     // The retry budget is divided by as many.
-    EXPECT_EQ(quota.counted_hosts(at(3600)), 4U);
+    EXPECT_EQ(quota.fleet_size_bound(at(3600)), 4U);
 }
 
 TEST(shared_quota, a_host_that_is_gone_for_good_leaves_its_share)
@@ -209,16 +210,17 @@
     auto quota = make_quota("1");
     for (const auto* name : {"2", "3"})
     {
-        quota.roster().hear(host_id(name), south, incarnation(1), false, at(0));
+        quota.members().update(host_id(name), south, incarnation(1), false,
+                               at(0));
     }
-    quota.roster().list(host_id("4"), south, at(0));
-    quota.note_fleet(true, at(0));
+    quota.members().add_host(host_id("4"), south, at(0));
+    quota.record_fleet_discovery(true, at(0));
     for (double second = 0; second < 40; second += 1)
     {
-        quota.roster().hear(host_id("2"), south, incarnation(1), false,
-                            at(second));
-        quota.roster().hear(host_id("3"), south, incarnation(1), false,
-                            at(second));
+        quota.members().update(host_id("2"), south, incarnation(1), false,
+                               at(second));
+        quota.members().update(host_id("3"), south, incarnation(1), false,
+                               at(second));
         (void)quota.tick(at(second));
     }
     EXPECT_DOUBLE_EQ(quota.share(), 1.0 / 3);
@@ -227,14 +229,14 @@
 TEST(shared_quota, a_host_that_stops_says_so_and_earns_no_more)
 {
     auto quota = make_quota("1");
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     run(quota, 0, 2);
     quota.stop();
     (void)quota.tick(at(2));
     EXPECT_EQ(quota.share(), 0);
     auto other = make_quota("2");
-    other.note_fleet(true, at(0));
-    other.roster().hear(host_id("1"), north, incarnation(1), true, at(2));
+    other.record_fleet_discovery(true, at(0));
+    other.members().update(host_id("1"), north, incarnation(1), true, at(2));
     EXPECT_EQ(other.fleet_size(), 2U);
     (void)other.tick(at(6));
     EXPECT_EQ(other.fleet_size(), 1U);
@@ -247,16 +249,16 @@
     keeper_and_giver()
     {
         // Which of the two keeps the hall's pools follows from their names.
-        m_first.roster().hear(host_id("2"), north, incarnation(1), false,
-                              at(0));
-        m_second.roster().hear(host_id("1"), north, incarnation(1), false,
-                               at(0));
+        m_first.members().update(host_id("2"), north, incarnation(1), false,
+                                 at(0));
+        m_second.members().update(host_id("1"), north, incarnation(1), false,
+                                  at(0));
         const bool is_first =
-            m_first.roster().keepers(at(0)).front() == host_id("1");
+            m_first.members().keepers(at(0)).front() == host_id("1");
         keeper = is_first ? &m_first : &m_second;
         giver = is_first ? &m_second : &m_first;
-        keeper->note_fleet(true, at(0));
-        giver->note_fleet(true, at(0));
+        keeper->record_fleet_discovery(true, at(0));
+        giver->record_fleet_discovery(true, at(0));
     }
 
     /// @return the giver's deposit, if one is due
@@ -280,7 +282,7 @@
 
     double balance() const
     {
-        return keeper->pool().states().at(studio).balance;
+        return keeper->buckets().states().at(studio).balance;
     }
 
     shared_quota* keeper = nullptr;
@@ -337,7 +339,7 @@
     greet();
     auto sent = deposit(0.5);
     ASSERT_TRUE(sent);
-    sent->keeper_started = incarnation(7);
+    sent->keeper_incarnation = incarnation(7);
     (void)keeper->receive(*sent, at(0.5));
     EXPECT_EQ(balance(), 0);
 }
@@ -367,18 +369,19 @@
     (void)keeper->receive(*deposit(0.5), at(0.5));
     auto claim = giver->open_claim(studio, 100, at(0.5));
     const auto step = giver->advance(claim, at(0.5));
-    ASSERT_EQ(step.what, claim_step::outcome::asking);
-    const auto grant = keeper->receive(step.ask->message, at(0.5));
+    ASSERT_EQ(step.result, claim_step::outcome::pending);
+    const auto grant = keeper->receive(step.request->message, at(0.5));
     ASSERT_TRUE(grant);
     EXPECT_EQ(grant->amount, 100);
     (void)giver->receive(*grant, at(0.5));
-    EXPECT_TRUE(giver->has_answer(step.ask->message.sequence));
-    EXPECT_EQ(giver->advance(claim, at(0.5)).what,
+    EXPECT_TRUE(giver->has_reply(step.request->message.sequence));
+    EXPECT_EQ(giver->advance(claim, at(0.5)).result,
               claim_step::outcome::granted);
     // It comes once more: nobody may use it.
     (void)giver->receive(*grant, at(0.5));
     auto next = giver->open_claim(studio, 100, at(0.5));
-    EXPECT_EQ(giver->advance(next, at(0.5)).what, claim_step::outcome::asking);
+    EXPECT_EQ(giver->advance(next, at(0.5)).result,
+              claim_step::outcome::pending);
 }
 
 TEST_F(keeper_and_giver, a_grant_that_comes_late_is_used_by_another_request)
@@ -387,12 +390,13 @@
     (void)keeper->receive(*deposit(0.5), at(0.5));
     auto claim = giver->open_claim(studio, 100, at(0.5));
     const auto step = giver->advance(claim, at(0.5));
-    const auto grant = keeper->receive(step.ask->message, at(0.5));
-    EXPECT_EQ(giver->advance(claim, at(0.6)).what,
-              claim_step::outcome::refused);
+    const auto grant = keeper->receive(step.request->message, at(0.5));
+    EXPECT_EQ(giver->advance(claim, at(0.6)).result,
+              claim_step::outcome::rejected);
     (void)giver->receive(*grant, at(0.7));
     auto next = giver->open_claim(studio, 100, at(0.7));
-    EXPECT_EQ(giver->advance(next, at(0.7)).what, claim_step::outcome::granted);
+    EXPECT_EQ(giver->advance(next, at(0.7)).result,
+              claim_step::outcome::granted);
 }
 
 TEST_F(keeper_and_giver, what_is_not_used_goes_back_once)
@@ -404,7 +408,7 @@
     giver->refund(studio, 70);
     const auto sent = giver->tick(at(0.6));
     ASSERT_EQ(sent.size(), 1U);
-    EXPECT_EQ(sent.front().message.kind, quota_message_kind::give_back);
+    EXPECT_EQ(sent.front().message.kind, quota_message_kind::release);
     const auto used_up = balance();
     (void)keeper->receive(sent.front().message, at(0.6));
     (void)keeper->receive(sent.front().message, at(0.6));
@@ -432,10 +436,10 @@
     for (int number = 0; number < 3; ++number)
     {
         auto claim = giver->open_claim(studio, 10, at(0));
-        EXPECT_EQ(giver->advance(claim, at(0)).what,
-                  claim_step::outcome::asking);
-        EXPECT_EQ(giver->advance(claim, at(0.1)).what,
-                  claim_step::outcome::refused);
+        EXPECT_EQ(giver->advance(claim, at(0)).result,
+                  claim_step::outcome::pending);
+        EXPECT_EQ(giver->advance(claim, at(0.1)).result,
+                  claim_step::outcome::rejected);
     }
     EXPECT_TRUE(deposit(0.2)) << "the keeper may have stood still for a moment";
     auto claim = giver->open_claim(studio, 10, at(0.3));
@@ -461,31 +465,31 @@
     message.kind = quota_message_kind::grant;
     message.from = host_id("1");
     message.hall = north;
-    message.started = incarnation(5);
+    message.sender_incarnation = incarnation(5);
     message.sequence = 6;
     message.is_stopping = true;
     message.fleet_size = 7;
-    message.keeper_started = incarnation(8);
+    message.keeper_incarnation = incarnation(8);
     message.share = 0.25;
     message.credit = 9.5;
     message.workspace = studio;
     message.amount = 10.5;
-    message.answer_to = 11;
+    message.in_reply_to = 11;
     const auto read = decode_quota_message(encode(message));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->kind, message.kind);
     EXPECT_EQ(read->from, message.from);
     EXPECT_EQ(read->hall, message.hall);
-    EXPECT_EQ(read->started, message.started);
+    EXPECT_EQ(read->sender_incarnation, message.sender_incarnation);
     EXPECT_EQ(read->sequence, 6);
     EXPECT_TRUE(read->is_stopping);
     EXPECT_EQ(read->fleet_size, 7);
-    EXPECT_EQ(read->keeper_started, message.keeper_started);
+    EXPECT_EQ(read->keeper_incarnation, message.keeper_incarnation);
     EXPECT_EQ(read->share, 0.25);
     EXPECT_EQ(read->credit, 9.5);
     EXPECT_EQ(read->workspace, studio);
     EXPECT_EQ(read->amount, 10.5);
-    EXPECT_EQ(read->answer_to, 11);
+    EXPECT_EQ(read->in_reply_to, 11);
 }
 
 TEST(quota_message, other_bytes_are_none)
--- a/tests/upstream_limits/limit_fleet.cpp
+++ b/tests/upstream_limits/limit_fleet.cpp
@@ -137,10 +137,10 @@
     {
         if (other.is_listed)
         {
-            host.quota->roster().list(other.name, other.hall, m_now);
+            host.quota->members().add_host(other.name, other.hall, m_now);
         }
     }
-    host.quota->note_fleet(!is_first, m_now);
+    host.quota->record_fleet_discovery(!is_first, m_now);
 }
 
 void limit_fleet::tick(std::size_t index)
@@ -170,7 +170,7 @@
         }
         send(index, host.last_state,
              [this, peer](limit_host& receiver)
-             { receiver.quota->hear(peer, m_now); });
+             { receiver.quota->update_peer(peer, m_now); });
     }
 }
 
@@ -253,9 +253,9 @@
         send_quota(to, {message.from, std::move(*reply)});
     }
     check_updates(to);
-    const auto waiting = host.waiting.find(message.answer_to);
+    const auto waiting = host.waiting.find(message.in_reply_to);
     if (waiting != host.waiting.end() &&
-        host.quota->has_answer(message.answer_to))
+        host.quota->has_reply(message.in_reply_to))
     {
         const auto claim = waiting->second;
         host.waiting.erase(waiting);
--- a/tests/upstream_limits/limit_requests.cpp
+++ b/tests/upstream_limits/limit_requests.cpp
@@ -91,12 +91,12 @@
 {
     auto& host = m_hosts[index];
     const auto step = host.quota->advance(waiting->claim, m_now);
-    if (step.what == claim_step::outcome::granted)
+    if (step.result == claim_step::outcome::granted)
     {
         send_request(index);
         return;
     }
-    if (step.what == claim_step::outcome::refused)
+    if (step.result == claim_step::outcome::rejected)
     {
         const auto limit = host.quota->limits().limit_of(limited_upstream.id);
         host.passed_over_until =
@@ -105,8 +105,8 @@
         return;
     }
     ++m_asks;
-    send_quota(index, *step.ask);
-    const auto ask = step.ask->message.sequence;
+    send_quota(index, *step.request);
+    const auto ask = step.request->message.sequence;
     host.waiting[ask] = waiting;
     on_host(index, ask_time,
             [this, index, ask](limit_host& asking)
@@ -158,7 +158,8 @@
         host.told_at = std::min(host.told_at, m_now);
         m_first_named = std::min(m_first_named, m_now);
     }
-    host.quota->record_answer({limited_upstream, limit, sent_at}, m_now, m_now);
+    host.quota->record_response({limited_upstream, limit, sent_at}, m_now,
+                                m_now);
     check_updates(index);
 }
 
