--- a/libraries/quotas/quota_claim.hpp
+++ b/libraries/quotas/quota_claim.hpp
@@ -65,13 +65,13 @@
 /// The next step of a claim.
 struct claim_step
 {
-    enum class outcome
+    enum class status
     {
         granted,  ///< the request is within the quota
         rejected, ///< the request exceeds the quota
         pending,  ///< send `request` and wait for the reply
     };
-    outcome result = outcome::rejected;
+    status result = status::rejected;
     std::optional<addressed_quota_message> request;
 };
 
--- a/libraries/quotas/shared_quota.cpp
+++ b/libraries/quotas/shared_quota.cpp
@@ -36,7 +36,7 @@
     : m_self(std::move(self))
     , m_hall(std::move(hall))
     , m_incarnation(host_incarnation)
-    , m_members(m_self, m_hall)
+    , m_fleet(m_self, m_hall)
     , m_buckets(options)
     , m_join_delay(absl::Seconds(3))
 {
@@ -50,8 +50,8 @@
 
 void shared_quota::update_peer(const quota_peer& peer, absl::Time now)
 {
-    m_members.update(peer.name, peer.hall, peer.host_incarnation,
-                     peer.is_stopping, now);
+    m_fleet.update(peer.name, peer.hall, peer.host_incarnation,
+                   peer.is_stopping, now);
     m_reported_fleet_sizes[peer.name] = {
         std::max<std::int64_t>(0, peer.fleet_size), now};
 }
@@ -59,7 +59,7 @@
 void shared_quota::stop()
 {
     m_is_stopping = true;
-    m_members.stop();
+    m_fleet.stop();
 }
 
 void shared_quota::record_response(
@@ -102,12 +102,12 @@
 
 std::vector<addressed_quota_message> shared_quota::tick(absl::Time now)
 {
-    m_members.evict_departed(now);
+    m_fleet.evict_departed(now);
     std::erase_if(m_depleted_until,
                   [now](const auto& entry) { return entry.second <= now; });
     m_credit.set_share(share_at(now), now);
     std::vector<addressed_quota_message> messages;
-    const auto keeper = m_members.keepers(now).front();
+    const auto keeper = m_fleet.keepers(now).front();
     release_unused(keeper, now, messages);
     if (keeper == m_self)
     {
@@ -142,7 +142,7 @@
 // small a one is not.
 std::size_t shared_quota::fleet_size_bound(absl::Time now) const
 {
-    auto largest = m_members.size();
+    auto largest = m_fleet.size();
     for (const auto& [peer, reported] : m_reported_fleet_sizes)
     {
         if (now - reported.second < m_join_delay * reported_size_propagations)
@@ -163,7 +163,7 @@
     message.sender_incarnation = m_incarnation;
     message.sequence = ++m_sequence;
     message.is_stopping = m_is_stopping;
-    message.fleet_size = static_cast<std::int64_t>(m_members.size());
+    message.fleet_size = static_cast<std::int64_t>(m_fleet.size());
     return message;
 }
 
@@ -172,7 +172,7 @@
 {
     if (m_unacknowledged_keeper == keeper)
     {
-        m_members.record_timeout(keeper, now);
+        m_fleet.record_timeout(keeper, now);
     }
     m_unacknowledged_keeper = keeper;
     m_deposited_at = now;
@@ -183,7 +183,7 @@
         now - m_last_ack.received_at <= max_ack_age)
     {
         message.in_reply_to = m_last_ack.sequence;
-        message.keeper_incarnation = m_members.incarnation_of(keeper);
+        message.keeper_incarnation = m_fleet.incarnation_of(keeper);
         message.credit =
             m_credit.allocate(keeper, message.keeper_incarnation, now);
         m_is_credit_withheld = false;
@@ -336,7 +336,7 @@
 quota_claim shared_quota::open_claim(const quota_subject& subject, double cost,
                                      absl::Time now) const
 {
-    return {subject, cost, m_members.keepers(now)};
+    return {subject, cost, m_fleet.keepers(now)};
 }
 
 claim_step shared_quota::advance(quota_claim& claim, absl::Time now)
@@ -344,7 +344,7 @@
     // 1. A subject without a limit is not counted.
     if (!m_buckets.is_limited(claim.m_subject))
     {
-        return {claim_step::outcome::granted, std::nullopt};
+        return {claim_step::status::granted, std::nullopt};
     }
     // 2. Add what the last keeper has granted, and unused grants of this host.
     complete_request(claim, now);
@@ -357,7 +357,7 @@
             // 4. No keeper is left: the collected tokens are kept for other
             // requests.
             m_unused_grants[claim.m_subject] += claim.m_collected;
-            return {claim_step::outcome::rejected, std::nullopt};
+            return {claim_step::status::rejected, std::nullopt};
         }
         const auto keeper = claim.m_keepers[claim.m_next_keeper++];
         const auto missing = claim.m_cost - claim.m_collected;
@@ -382,10 +382,10 @@
         claim.m_pending_amount = missing;
         ++claim.m_request_count;
         m_pending_requests[request.sequence] = std::nullopt;
-        return {claim_step::outcome::pending,
+        return {claim_step::status::pending,
                 addressed_quota_message{keeper, std::move(request)}};
     }
-    return {claim_step::outcome::granted, std::nullopt};
+    return {claim_step::status::granted, std::nullopt};
 }
 
 void shared_quota::complete_request(quota_claim& claim, absl::Time now)
@@ -406,7 +406,7 @@
         {
             m_late_requests.erase(m_late_requests.begin());
         }
-        m_members.record_timeout(claim.m_pending_keeper, now);
+        m_fleet.record_timeout(claim.m_pending_keeper, now);
         return;
     }
     ++claim.m_reply_count;
--- a/libraries/quotas/shared_quota.hpp
+++ b/libraries/quotas/shared_quota.hpp
@@ -83,9 +83,9 @@
     /// message.
     void update_peer(const quota_peer& peer, absl::Time now);
 
-    [[nodiscard]] fleet_membership& members()
+    [[nodiscard]] fleet_membership& fleet()
     {
-        return m_members;
+        return m_fleet;
     }
 
     /// Sets the time after which all others know a new host; the new host
@@ -93,7 +93,7 @@
     void set_join_delay(absl::Duration time)
     {
         m_join_delay = time;
-        m_members.set_propagation_time(time);
+        m_fleet.set_propagation_time(time);
     }
 
     /// Starts the shutdown of this process: it accrues no more credit, and
@@ -154,7 +154,7 @@
     /// @return the number of known hosts of the fleet, including this one
     [[nodiscard]] std::size_t fleet_size() const
     {
-        return m_members.size();
+        return m_fleet.size();
     }
 
 private:
@@ -193,7 +193,7 @@
     hall_id m_hall;
     incarnation m_incarnation;
     bool m_is_stopping = false;
-    fleet_membership m_members;
+    fleet_membership m_fleet;
     credit_accumulator m_credit;
     quota_buckets m_buckets;
     limit_table m_limits;
--- a/services/gateway/host_list.cpp
+++ b/services/gateway/host_list.cpp
@@ -114,8 +114,8 @@
         blank == std::string::npos ? std::string() : value.substr(blank + 1);
     const machine_address host{host_id(record.key), value.substr(0, blank),
                                hall_id(hall)};
-    m_state.quota.shared().members().add_host(host.name, host.hall,
-                                              gateway_state::now());
+    m_state.quota.shared().fleet().add_host(host.name, host.hall,
+                                            gateway_state::now());
     m_found(host);
 }
 
--- a/services/gateway/peer_states.cpp
+++ b/services/gateway/peer_states.cpp
@@ -84,7 +84,7 @@
     for (const auto& machine : state.machines)
     {
         m_table.add_address(machine, now);
-        quota.members().add_host(machine.name, machine.hall, now);
+        quota.fleet().add_host(machine.name, machine.hall, now);
     }
     absl::flat_hash_map<upstream_id, server_load> loads;
     for (const auto& load : state.loads)
--- a/services/gateway/quota_service.cpp
+++ b/services/gateway/quota_service.cpp
@@ -31,10 +31,10 @@
     while (true)
     {
         const auto step = m_quota.advance(claim, now());
-        if (step.result != claim_step::outcome::pending)
+        if (step.result != claim_step::status::pending)
         {
             quota_verdict verdict;
-            verdict.is_within = step.result == claim_step::outcome::granted;
+            verdict.is_within = step.result == claim_step::status::granted;
             verdict.how = describe(claim);
             co_return verdict;
         }
--- a/tests/gateway/quota_service_test.cpp
+++ b/tests/gateway/quota_service_test.cpp
@@ -19,8 +19,8 @@
     workspace.name = studio;
     workspace.limit = {1000, 1000};
     quota.set_limits({workspace});
-    quota.members().update(keeper, hall, incarnation(1), false,
-                           gateway_state::now());
+    quota.fleet().update(keeper, hall, incarnation(1), false,
+                         gateway_state::now());
     quota.stop();
     return quota;
 }
--- a/tests/quotas/quota_host.cpp
+++ b/tests/quotas/quota_host.cpp
@@ -6,10 +6,10 @@
 namespace
 {
 
-// As services/gateway has them.
-constexpr absl::Duration pause = absl::Milliseconds(250);
-constexpr std::size_t most_told = 8;
-constexpr absl::Duration ask_time = absl::Milliseconds(100);
+// Values of services/gateway.
+constexpr absl::Duration tick_interval = absl::Milliseconds(250);
+constexpr std::size_t states_per_tick = 8;
+constexpr absl::Duration reply_timeout = absl::Milliseconds(100);
 
 quota_options options()
 {
@@ -28,14 +28,14 @@
 void quota_host::start()
 {
     m_quota.set_limits(m_model.workspaces());
-    // The store's answers take their time: others list meanwhile.
+    // The store responds with a delay, so other hosts read the list meanwhile.
     m_model.after(m_self.name, absl::Milliseconds(m_model.random(5, 300)),
                   [this]
                   {
                       m_model.publish(m_self.name);
                       m_model.after(m_self.name,
                                     absl::Milliseconds(m_model.random(5, 50)),
-                                    [this] { list(); });
+                                    [this] { read_host_list(); });
                   });
     m_model.after(m_self.name, absl::Milliseconds(m_model.random(5, 250)),
                   [this] { tick(); });
@@ -47,11 +47,11 @@
     m_is_stopping = true;
 }
 
-void quota_host::list()
+void quota_host::read_host_list()
 {
     for (const auto& [name, hall] : m_model.listed())
     {
-        m_quota.members().add_host(name, hall, m_model.now());
+        m_quota.fleet().add_host(name, hall, m_model.now());
         if (name != m_self.name)
         {
             m_known.insert(name);
@@ -68,11 +68,11 @@
     }
     send_state();
     m_model.after(m_self.name,
-                  pause + absl::Milliseconds(m_model.random(0, 20)),
+                  tick_interval + absl::Milliseconds(m_model.random(0, 20)),
                   [this] { tick(); });
 }
 
-// To the next eight that it knows, as peer_exchange does.
+// Sends the state to the next eight known hosts, like peer_exchange.
 void quota_host::send_state()
 {
     machine_state state;
@@ -82,16 +82,16 @@
     state.is_stopping = m_is_stopping;
     state.fleet_size = static_cast<std::int64_t>(m_quota.fleet_size());
     const auto bytes = encode(state);
-    auto peer = m_known.upper_bound(m_last_told);
-    for (std::size_t index = 0; index < std::min(m_known.size(), most_told);
-         ++index)
+    auto peer = m_known.upper_bound(m_last_recipient);
+    for (std::size_t index = 0;
+         index < std::min(m_known.size(), states_per_tick); ++index)
     {
         if (peer == m_known.end())
         {
             peer = m_known.begin();
         }
         m_model.send(m_self.name, *peer, bytes);
-        m_last_told = *peer;
+        m_last_recipient = *peer;
         ++peer;
     }
 }
@@ -105,7 +105,7 @@
 {
     if (const auto state = decode_machine_state(bytes))
     {
-        hear(*state);
+        receive_state(*state);
         return;
     }
     const auto message = decode_quota_message(bytes);
@@ -118,16 +118,17 @@
     {
         send({message->from, std::move(*reply)});
     }
-    const auto waiting = m_waiting.find(message->in_reply_to);
-    if (waiting != m_waiting.end() && m_quota.has_reply(message->in_reply_to))
+    const auto replied = m_pending_claims.find(message->in_reply_to);
+    if (replied != m_pending_claims.end() &&
+        m_quota.has_reply(message->in_reply_to))
     {
-        const auto claim = waiting->second;
-        m_waiting.erase(waiting);
-        go_on(claim);
+        const auto claim = replied->second;
+        m_pending_claims.erase(replied);
+        continue_claim(claim);
     }
 }
 
-void quota_host::hear(const machine_state& state)
+void quota_host::receive_state(const machine_state& state)
 {
     m_known.insert(state.self.name);
     m_quota.update_peer({state.self.name, state.hall, state.started,
@@ -135,33 +136,35 @@
                         m_model.now());
 }
 
-void quota_host::take(double cost, std::function<void(bool)> answer)
+void quota_host::take(double cost, std::function<void(bool)> on_result)
 {
-    go_on(std::make_shared<waiting_claim>(
-        waiting_claim{m_quota.open_claim(workspace, cost, m_model.now()),
-                      std::move(answer)}));
+    continue_claim(std::make_shared<pending_claim>(
+        pending_claim{m_quota.open_claim(workspace, cost, m_model.now()),
+                      std::move(on_result)}));
 }
 
-void quota_host::go_on(const std::shared_ptr<waiting_claim>& waiting)
+void quota_host::continue_claim(
+    const std::shared_ptr<pending_claim>& unfinished)
 {
-    const auto step = m_quota.advance(waiting->claim, m_model.now());
-    if (step.result != claim_step::outcome::pending)
+    const auto step = m_quota.advance(unfinished->claim, m_model.now());
+    if (step.result != claim_step::status::pending)
     {
-        waiting->answer(step.result == claim_step::outcome::granted);
+        unfinished->on_result(step.result == claim_step::status::granted);
         return;
     }
     send(*step.request);
-    const auto ask = step.request->message.sequence;
-    m_waiting[ask] = waiting;
-    m_model.after(m_self.name, ask_time,
-                  [this, ask]
+    const auto request_sequence = step.request->message.sequence;
+    m_pending_claims[request_sequence] = unfinished;
+    m_model.after(m_self.name, reply_timeout,
+                  [this, request_sequence]
                   {
-                      const auto open = m_waiting.find(ask);
-                      if (open != m_waiting.end())
+                      const auto timed_out =
+                          m_pending_claims.find(request_sequence);
+                      if (timed_out != m_pending_claims.end())
                       {
-                          const auto claim = open->second;
-                          m_waiting.erase(open);
-                          go_on(claim);
+                          const auto claim = timed_out->second;
+                          m_pending_claims.erase(timed_out);
+                          continue_claim(claim);
                       }
                   });
 }
--- a/tests/quotas/quota_host.hpp
+++ b/tests/quotas/quota_host.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One host of the model: the product's quota and what it tells its peers.
+/// A simulated host: the product's quota and the states that it sends to peers.
 #pragma once
 
 #include "fleet_model.hpp"
@@ -11,7 +11,7 @@
 namespace daleshelf
 {
 
-/// Does as the gateway does, as far as quotas go.
+/// Behaves like the gateway as far as quotas are concerned.
 class quota_host
 {
 public:
@@ -29,26 +29,27 @@
 
     void start();
 
-    /// Begins its planned end, as the gateway's.
+    /// Starts a planned shutdown, like the gateway's.
     void stop();
 
     void receive(const std::string& bytes);
 
-    /// @param answer called with whether the request is within the quota
-    void take(double cost, std::function<void(bool)> answer);
+    /// Requests a cost.
+    /// @param on_result called with whether the request is within the quota
+    void take(double cost, std::function<void(bool)> on_result);
 
 private:
-    struct waiting_claim
+    struct pending_claim
     {
         quota_claim claim;
-        std::function<void(bool)> answer;
+        std::function<void(bool)> on_result;
     };
 
-    void list();
+    void read_host_list();
     void tick();
     void send_state();
-    void hear(const machine_state& state);
-    void go_on(const std::shared_ptr<waiting_claim>& waiting);
+    void receive_state(const machine_state& state);
+    void continue_claim(const std::shared_ptr<pending_claim>& unfinished);
     void send(const addressed_quota_message& message);
 
     fleet_model& m_model;
@@ -56,8 +57,8 @@
     shared_quota m_quota;
     bool m_is_stopping = false;
     std::set<host_id> m_known;
-    host_id m_last_told;
-    std::map<std::int64_t, std::shared_ptr<waiting_claim>> m_waiting;
+    host_id m_last_recipient;
+    std::map<std::int64_t, std::shared_ptr<pending_claim>> m_pending_claims;
 };
 
 } // namespace daleshelf
--- a/tests/upstream_limits/limit_fleet.cpp
+++ b/tests/upstream_limits/limit_fleet.cpp
@@ -137,7 +137,7 @@
     {
         if (other.is_listed)
         {
-            host.quota->members().add_host(other.name, other.hall, m_now);
+            host.quota->fleet().add_host(other.name, other.hall, m_now);
         }
     }
     host.quota->record_fleet_discovery(!is_first, m_now);
@@ -335,8 +335,8 @@
 
 limit_outcome play_limits(const limit_plan& plan, std::uint32_t seed)
 {
-    limit_fleet fleet(plan, seed);
-    return fleet.play();
+    limit_fleet simulation(plan, seed);
+    return simulation.play();
 }
 
 limit_plan drawn_limit_plan(std::uint32_t seed)
--- a/tests/upstream_limits/limit_requests.cpp
+++ b/tests/upstream_limits/limit_requests.cpp
@@ -91,12 +91,12 @@
 {
     auto& host = m_hosts[index];
     const auto step = host.quota->advance(waiting->claim, m_now);
-    if (step.result == claim_step::outcome::granted)
+    if (step.result == claim_step::status::granted)
     {
         send_request(index);
         return;
     }
-    if (step.result == claim_step::outcome::rejected)
+    if (step.result == claim_step::status::rejected)
     {
         const auto limit = host.quota->limits().limit_of(limited_upstream.id);
         host.passed_over_until =
