--- a/benchmarks/limit_benchmark.cpp
+++ b/benchmarks/limit_benchmark.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// What limits of upstreams cost a request, and a host that learns of them.
+/// Cost of upstream limits for a request and for a host that receives gossiped
+/// limits.
 #include <benchmark/benchmark.h>
 #include <quotas/shared_quota.hpp>
 #include <upstream_limits/limit_message.hpp>
@@ -22,7 +23,7 @@
             upstream_birth(1)};
 }
 
-// A host that is alone, with a third of the upstreams limited.
+// A host without peers, with a limit on every third upstream.
 shared_quota quota_with_limits()
 {
     shared_quota quota(host_id("a"), hall_id("north"), incarnation(1),
--- a/benchmarks/limit_plays.cpp
+++ b/benchmarks/limit_plays.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Plays the fleet model of an upstream that names a limit with many seeds and
-/// prints what it got against what it allows.
+/// Simulates a fleet and an upstream that advertises a limit with many seeds,
+/// and prints the received requests relative to the limit.
 #include <boost/program_options.hpp>
 
 #include <algorithm>
@@ -12,37 +12,37 @@
 {
 
 namespace options = boost::program_options;
-using daleshelf::limit_outcome;
-using daleshelf::limit_trouble;
-using daleshelf::limit_way;
+using daleshelf::limit_result;
+using daleshelf::limit_scenario_fault;
+using daleshelf::limit_strategy;
 
 options::options_description describe_options()
 {
     options::options_description all("limit_plays [OPTION...]");
     auto add = all.add_options();
-    add("help", "shows this text");
+    add("help", "prints this help");
     add("hosts", options::value<int>()->default_value(0),
-        "of the fleet; 0: drawn, as are limit and demand");
-    add("halls", options::value<int>()->default_value(3), "of the fleet");
+        "number of hosts; 0: random hosts, limit and demand");
+    add("halls", options::value<int>()->default_value(3), "number of halls");
     add("limit", options::value<double>()->default_value(1),
-        "requests a second that the upstream names from 2 s on");
+        "requests per second that the upstream advertises from 2 s on");
     add("demand", options::value<double>()->default_value(4),
-        "against the limit");
+        "as a multiple of the limit");
     add("trouble", options::value<std::string>()->default_value("none"),
         "at 8 s: none, kill, kill_all, freeze, hall_cut, split or "
         "loss");
     add("way", options::value<std::string>()->default_value("keepers"),
         "keepers (the product's), shares, owner or unlimited");
     add("first-seed", options::value<std::uint32_t>()->default_value(1),
-        "of the first play");
+        "seed of the first run");
     add("plays", options::value<std::uint32_t>()->default_value(20),
-        "one a seed");
+        "number of runs, one per seed");
     return all;
 }
 
-std::vector<limit_trouble> troubles_named(const std::string& name)
+std::vector<limit_scenario_fault> faults_from_name(const std::string& name)
 {
-    using kind = limit_trouble::kind;
+    using kind = limit_scenario_fault::kind;
     if (name == "none")
     {
         return {};
@@ -71,62 +71,67 @@
     {
         return {{kind::loss, 2, 18, 0}};
     }
-    throw options::error("no such trouble: " + name);
+    throw options::error("unknown trouble: " + name);
 }
 
-limit_way way_named(const std::string& name)
+limit_strategy strategy_from_name(const std::string& name)
 {
-    static const std::map<std::string, limit_way> ways{
-        {"keepers", limit_way::keepers},
-        {"shares", limit_way::shares},
-        {"owner", limit_way::owner},
-        {"unlimited", limit_way::unlimited}};
-    const auto found = ways.find(name);
-    if (found == ways.end())
+    static const std::map<std::string, limit_strategy> strategies{
+        {"keepers", limit_strategy::keepers},
+        {"shares", limit_strategy::shares},
+        {"owner", limit_strategy::owner},
+        {"unlimited", limit_strategy::unlimited}};
+    const auto found = strategies.find(name);
+    if (found == strategies.end())
     {
-        throw options::error("no such way: " + name);
+        throw options::error("unknown way: " + name);
     }
     return found->second;
 }
 
-double part_of(std::vector<double> values, double part)
+double quantile(std::vector<double> values, double fraction)
 {
     std::sort(values.begin(), values.end());
     const auto last = static_cast<double>(values.size() - 1);
-    return values[static_cast<std::size_t>(part * last)];
+    return values[static_cast<std::size_t>(fraction * last)];
 }
 
-void print(const std::vector<limit_outcome>& outcomes)
+void print(const std::vector<limit_result>& results)
 {
-    const auto column = [&](double limit_outcome::*member)
+    const auto column = [&](double limit_result::*member)
     {
         std::vector<double> values;
-        values.reserve(outcomes.size());
-        for (const auto& outcome : outcomes)
+        values.reserve(results.size());
+        for (const auto& result : results)
         {
-            values.push_back(outcome.*member);
+            values.push_back(result.*member);
         }
         return values;
     };
-    const auto over = column(&limit_outcome::most_over);
-    const auto fullest = column(&limit_outcome::fullest);
-    const auto used = column(&limit_outcome::used);
-    std::cout << "plays " << outcomes.size() << "\nplays over the rule "
-              << std::count_if(over.begin(), over.end(),
+    const auto excess = column(&limit_result::max_excess);
+    const auto max_window_use = column(&limit_result::max_window_use);
+    const auto used_fraction = column(&limit_result::used_fraction);
+    std::cout << "runs " << results.size() << "\nruns over the rule "
+              << std::count_if(excess.begin(), excess.end(),
                                [](double value) { return value > 0; })
-              << "\nmost requests over it " << part_of(over, 1)
-              << "\nfullest window against the rule: median "
-              << part_of(fullest, 0.5) << ", 99th percentile "
-              << part_of(fullest, 0.99) << ", most " << part_of(fullest, 1)
-              << "\npart of the limit used: least " << part_of(used, 0)
-              << ", 5th percentile " << part_of(used, 0.05) << ", median "
-              << part_of(used, 0.5) << "\nseconds until all hosts knew: median "
-              << part_of(column(&limit_outcome::learned_by_all), 0.5)
-              << ", most " << part_of(column(&limit_outcome::learned_by_all), 1)
-              << "\ngossip, bytes a second and host: median "
-              << part_of(column(&limit_outcome::gossip_bytes), 0.5)
-              << "\nasks for each request that arrived: median "
-              << part_of(column(&limit_outcome::asks), 0.5) << '\n';
+              << "\nmaximum requests over it " << quantile(excess, 1)
+              << "\nfullest window as a fraction of the rule: median "
+              << quantile(max_window_use, 0.5) << ", 99th percentile "
+              << quantile(max_window_use, 0.99) << ", maximum "
+              << quantile(max_window_use, 1)
+              << "\nused fraction of the limit: minimum "
+              << quantile(used_fraction, 0) << ", 5th percentile "
+              << quantile(used_fraction, 0.05) << ", median "
+              << quantile(used_fraction, 0.5)
+              << "\nseconds until all hosts knew the limit: median "
+              << quantile(column(&limit_result::convergence_seconds), 0.5)
+              << ", maximum "
+              << quantile(column(&limit_result::convergence_seconds), 1)
+              << "\ngossip, bytes per second and host: median "
+              << quantile(column(&limit_result::gossip_bytes_per_second), 0.5)
+              << "\nexchanges with keepers per arrived request: median "
+              << quantile(column(&limit_result::exchanges_per_arrival), 0.5)
+              << '\n';
 }
 
 } // namespace
@@ -143,28 +148,29 @@
             std::cout << all;
             return 0;
         }
-        std::vector<limit_outcome> outcomes;
+        std::vector<limit_result> results;
         const auto first = chosen["first-seed"].as<std::uint32_t>();
-        const auto plays = chosen["plays"].as<std::uint32_t>();
-        const auto troubles =
-            troubles_named(chosen["trouble"].as<std::string>());
-        const auto way = way_named(chosen["way"].as<std::string>());
-        for (auto seed = first; seed < first + plays; ++seed)
+        const auto runs = chosen["plays"].as<std::uint32_t>();
+        const auto faults =
+            faults_from_name(chosen["trouble"].as<std::string>());
+        const auto strategy =
+            strategy_from_name(chosen["way"].as<std::string>());
+        for (auto seed = first; seed < first + runs; ++seed)
         {
-            auto plan = daleshelf::drawn_limit_plan(seed);
+            auto scenario = daleshelf::random_limit_scenario(seed);
             if (const auto hosts = chosen["hosts"].as<int>(); hosts > 0)
             {
                 const auto limit = chosen["limit"].as<double>();
-                plan.hosts = hosts;
-                plan.halls = chosen["halls"].as<int>();
-                plan.steps = {{2, limit}};
-                plan.demand = limit * chosen["demand"].as<double>();
+                scenario.hosts = hosts;
+                scenario.halls = chosen["halls"].as<int>();
+                scenario.steps = {{2, limit}};
+                scenario.demand = limit * chosen["demand"].as<double>();
             }
-            plan.troubles = troubles;
-            plan.way = way;
-            outcomes.push_back(daleshelf::play_limits(plan, seed));
+            scenario.faults = faults;
+            scenario.strategy = strategy;
+            results.push_back(daleshelf::simulate_limits(scenario, seed));
         }
-        print(outcomes);
+        print(results);
         return 0;
     }
     catch (const options::error& error)
--- a/tests/quotas/quota_host.cpp
+++ b/tests/quotas/quota_host.cpp
@@ -21,7 +21,7 @@
 quota_host::quota_host(fleet_model& model, identity self)
     : m_model(model)
     , m_self(std::move(self))
-    , m_quota(m_self.name, m_self.hall, m_self.started, options())
+    , m_quota(m_self.name, m_self.hall, m_self.host_incarnation, options())
 {
 }
 
@@ -77,7 +77,7 @@
 {
     machine_state state;
     state.self = {m_self.name, m_self.name.value(), m_self.hall};
-    state.started = m_self.started;
+    state.started = m_self.host_incarnation;
     state.hall = m_self.hall;
     state.is_stopping = m_is_stopping;
     state.fleet_size = static_cast<std::int64_t>(m_quota.fleet_size());
--- a/tests/quotas/quota_host.hpp
+++ b/tests/quotas/quota_host.hpp
@@ -19,7 +19,7 @@
     {
         host_id name;
         hall_id hall;
-        incarnation started;
+        incarnation host_incarnation;
         bool is_first_start = false;
     };
 
--- a/tests/upstream_limits/limit_fleet.hpp
+++ b/tests/upstream_limits/limit_fleet.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// A fleet of hosts before one upstream that names a limit, as a model: time,
-/// datagrams, callers and troubles are simulated; what the hosts decide is the
-/// product's code.
+/// Discrete-event simulation of a fleet of hosts and one upstream that
+/// advertises a limit. Time, datagrams, callers and faults are simulated; the
+/// decisions of the hosts are those of the product's code.
 #pragma once
 
 #include <cstddef>
@@ -12,75 +12,78 @@
 namespace daleshelf
 {
 
-/// The upstream's limit from a moment on.
+/// The limit that the upstream advertises from a moment on.
 struct limit_step
 {
-    double at = 0;                    ///< in seconds
-    std::optional<double> per_second; ///< nothing: it names none
+    double at = 0; ///< in seconds from the start
+    /// Requests per second; nothing: no limit.
+    std::optional<double> per_second;
 };
 
-/// Something that goes wrong; times in seconds from the start.
-struct limit_trouble
+/// A fault to inject; times in seconds from the start.
+struct limit_scenario_fault
 {
     enum class kind
     {
-        kill,     ///< hosts end, and start again after `seconds`
-        freeze,   ///< hosts stand still; datagrams wait for them
-        hall_cut, ///< one hall is cut off from the others
+        kill,     ///< hosts are killed and restart after `seconds`
+        freeze,   ///< hosts are paused; datagrams queue until they resume
+        hall_cut, ///< one hall is partitioned from the others and the upstream
         split,    ///< as above, but its hosts reach the upstream
         loss,     ///< a fifth of all datagrams is lost
     };
-    kind what = kind::kill;
+    kind type = kind::kill;
     double at = 0;
     double seconds = 0;
-    double share = 0; ///< of the hosts
+    double share = 0; ///< fraction of the hosts that are affected
 };
 
-/// Who decides whether a request may go to the upstream.
-enum class limit_way
+/// The component that decides whether a request may be sent.
+enum class limit_strategy
 {
-    keepers,   ///< the product's: keepers of the halls, by the fleet's time
-    shares,    ///< each host by itself, with its share of the limit
-    owner,     ///< one host of the fleet, the first by hash in reach
-    unlimited, ///< nobody: the fault that the check must see
+    keepers, ///< the product's: keepers of the halls, by deposited time credit
+    shares,  ///< each host alone, with its share of the limit
+    owner,   ///< one host of the fleet: the first reachable one by hash
+    unlimited, ///< none; the check must detect this
 };
 
-/// What is played.
-struct limit_plan
+/// The parameters of a simulation.
+struct limit_scenario
 {
-    limit_way way = limit_way::keepers;
+    limit_strategy strategy = limit_strategy::keepers;
     int hosts = 8;
     int halls = 3;
-    double demand = 10;  ///< requests a second that would go to the upstream
-    double seconds = 20; ///< of demand
+    double demand = 10;  ///< requests per second that would be sent
+    double seconds = 20; ///< duration of the demand
     std::vector<limit_step> steps{{2, 1.0}};
-    std::vector<limit_trouble> troubles;
+    std::vector<limit_scenario_fault> faults;
 };
 
-/// What a play has shown.
-struct limit_outcome
+/// The result of a simulation.
+struct limit_result
 {
-    /// Most requests within the rule's window beyond what it allows; negative
-    /// if it never was reached.
-    double most_over = 0;
-    /// Requests in the fullest window against what the rule allows in it.
-    double fullest = 0;
-    /// Requests against the limit, from four seconds after a step on.
-    double used = 0;
+    /// Maximum number of requests in a window of the platform's rule beyond
+    /// what the rule allows; negative if the rule's bound was never reached.
+    double max_excess = 0;
+    /// Maximum number of requests in a window, as a fraction of what the rule
+    /// allows in it.
+    double max_window_use = 0;
+    /// Requests as a fraction of the limit, from four seconds after each change
+    /// of the limit.
+    double used_fraction = 0;
     double arrived = 0;
-    /// Bytes of limits that the hosts have gossiped, a second and host.
-    double gossip_bytes = 0;
-    /// Exchanges with keepers for each request that has arrived.
-    double asks = 0;
-    /// Seconds from the first answer until the last host knew of the limit.
-    double learned_by_all = 0;
+    /// Bytes of gossiped limits per second and host.
+    double gossip_bytes_per_second = 0;
+    /// Exchanges with keepers per request that arrived.
+    double exchanges_per_arrival = 0;
+    /// Seconds from the first response with a limit until all hosts knew it.
+    double convergence_seconds = 0;
 };
 
-/// Plays one plan. Everything that is random comes from the seed.
-[[nodiscard]] limit_outcome play_limits(const limit_plan& plan,
-                                        std::uint32_t seed);
+/// Simulates one scenario. All randomness comes from the seed.
+[[nodiscard]] limit_result simulate_limits(const limit_scenario& scenario,
+                                           std::uint32_t seed);
 
-/// @return a plan of a drawn size, limit and demand, without troubles
-[[nodiscard]] limit_plan drawn_limit_plan(std::uint32_t seed);
+/// @return a scenario of random size, limit and demand, without faults
+[[nodiscard]] limit_scenario random_limit_scenario(std::uint32_t seed);
 
 } // namespace daleshelf
--- a/tests/upstream_limits/limit_table_test.cpp
+++ b/tests/upstream_limits/limit_table_test.cpp
@@ -26,7 +26,7 @@
     limit_table table;
     EXPECT_FALSE(
         table.record_response({first, std::nullopt, at(0)}, at(0), at(0)))
-        << "there was none";
+        << "there is no limit yet";
     EXPECT_TRUE(table.record_response({first, 2.5, at(0)}, at(1), at(1)));
     EXPECT_EQ(table.limit_of(server), 2.5);
     EXPECT_FALSE(table.record_response({first, 2.5, at(1)}, at(2), at(2)));
@@ -52,26 +52,27 @@
         table.record_response({second, std::nullopt, at(0.5)}, at(2), at(2)));
     EXPECT_FALSE(table.limit_of(server));
     EXPECT_FALSE(table.record_response({first, 1.0, at(3)}, at(4), at(4)))
-        << "an answer of the earlier one";
+        << "a response of the earlier incarnation";
     EXPECT_FALSE(table.merge({first, 7.0, at(9)}, at(9)));
 }
 
 TEST(limit_table, an_update_is_passed_on_once)
 {
     limit_table table;
-    const limit_record told{first, 3.0, at(1)};
-    EXPECT_TRUE(table.merge(told, at(2)));
+    const limit_record gossiped{first, 3.0, at(1)};
+    EXPECT_TRUE(table.merge(gossiped, at(2)));
     EXPECT_EQ(table.take_updates(8).size(), 1U);
-    EXPECT_FALSE(table.merge(told, at(3)));
+    EXPECT_FALSE(table.merge(gossiped, at(3)));
     EXPECT_FALSE(table.has_updates());
 }
 
-TEST(limit_table, what_is_gone_is_evicted_and_what_is_listed_stays)
+TEST(limit_table, evicts_departed_upstreams_and_keeps_listed_ones)
 {
     limit_table table;
     table.record_response({first, 1.0, at(0)}, at(1), at(1));
     const auto is_gone = [](const upstream_life&) { return true; };
-    EXPECT_TRUE(table.evict(is_gone, at(10)).empty()) << "it may be listed yet";
+    EXPECT_TRUE(table.evict(is_gone, at(10)).empty())
+        << "it may still get listed";
     EXPECT_TRUE(
         table.evict([](const upstream_life&) { return false; }, at(1000))
             .empty());
@@ -79,7 +80,7 @@
     EXPECT_EQ(table.limited_count(), 0U);
 }
 
-TEST(limit_table, repetitions_take_turns)
+TEST(limit_table, repetition_cycles_through_all_records)
 {
     limit_table table;
     for (const auto* name : {"a", "b", "c"})
@@ -103,7 +104,8 @@
     return record;
 }
 
-// Of known births: one that is not known is equal to each of the others.
+// Incarnations are known in this test: an unknown one compares equal to each of
+// the others.
 RC_GTEST_PROP(limit_table, records_merge_in_any_order_to_the_same, ())
 {
     auto records = *rc::gen::container<std::vector<limit_record>>(
@@ -126,22 +128,23 @@
     RC_ASSERT(one.limit_of(server) == other.limit_of(server));
 }
 
-TEST(limit_message, keeps_what_it_says_and_leaves_out_what_cannot_be)
+TEST(limit_message, survives_its_encoding_and_drops_invalid_records)
 {
-    const limit_record named{first, 0.5, at(1)};
+    const limit_record advertised{first, 0.5, at(1)};
     const limit_record ended{second, std::nullopt, at(2)};
-    const limit_record absurd{first, -1.0, at(1)};
-    const auto read = decode_limits(encode_limits({named, ended, absurd}));
+    const limit_record invalid{first, -1.0, at(1)};
+    const auto read =
+        decode_limits(encode_limits({advertised, ended, invalid}));
     ASSERT_TRUE(read);
     ASSERT_EQ(read->size(), 2U);
     EXPECT_EQ(read->front().per_second, 0.5);
-    EXPECT_EQ(read->front().advertised_at, named.advertised_at);
+    EXPECT_EQ(read->front().advertised_at, advertised.advertised_at);
     EXPECT_EQ(read->back().server.born, second.born);
     EXPECT_FALSE(read->back().per_second);
     EXPECT_FALSE(decode_limits("no datagram"));
 }
 
-// As services/gateway/limit_service.cpp repeats them: 12 each two seconds.
+// services/gateway/limit_service.cpp repeats 12 records every two seconds.
 TEST(limit_message, a_repetition_takes_little_of_a_link)
 {
     const std::vector<limit_record> records(
@@ -160,7 +163,7 @@
     EXPECT_GE(grant_back_off(500, 1, 0), absl::Milliseconds(2));
 }
 
-TEST(retry_schedule, returns_are_spread_and_bounded)
+TEST(retry_schedule, retries_are_spread_and_bounded)
 {
     retry_schedule schedule;
     EXPECT_EQ(schedule.reserve(2, at(0)), absl::Seconds(0.5));
