--- a/libraries/engines/engine_model.cpp
+++ b/libraries/engines/engine_model.cpp
@@ -8,65 +8,71 @@
 namespace
 {
 
-// Two hundred observations count: ten seconds of one of seven hosts at the
-// load of 160 prompts a second, and few enough to follow a change of engines.
-constexpr double fading = 0.995;
-// Tokens are counted in thousands and generations in tens, so that all numbers
-// of a fit are of one size.
-constexpr double thousand = 1000;
-constexpr double ten = 10;
-// The prior weighs as much as so many observations at one unit: a few prompts
-// outweigh it, one alone does not.
-constexpr double trust = 0.5;
-// How much of the tokens that peers tell still lies ahead is held more firmly:
-// most requests find none ahead.
-constexpr double firm_trust = 10;
-// Prior of generations in tokens, and of what is in doubt in thousands.
-constexpr double trusted_tokens = 500;
-constexpr double trusted_doubtful = 5;
-// As many answers of the prior's length as its tokens come to.
-constexpr double trusted_answers = trusted_tokens *
-                                   engine_estimate{}.generation_ms_per_token /
-                                   engine_estimate{}.answer_ms;
-// Times vary in proportion to their length, so errors are taken against the
-// longer of the expected and the seen time, which is brought to this size: one
-// that is far off weighs little, whichever of the two is wrong.
+// Corresponds to a window of 200 observations: about ten seconds for one of
+// seven hosts that share 160 prompts per second, and short enough to follow a
+// change of engines.
+constexpr double decay = 0.995;
+// Tokens are scaled to thousands and generations to tens, so that all inputs of
+// a fit have the same order of magnitude.
+constexpr double token_unit = 1000;
+constexpr double generation_unit = 10;
+// Weight of the prior, in observations at one unit: a few prompts outweigh it,
+// a single one does not.
+constexpr double prior_weight = 0.5;
+// The fraction of the peers' reported tokens that is still queued has a
+// stronger prior: most requests find none queued.
+constexpr double strong_prior_weight = 10;
+// Weights of the priors of generations, in tokens, and of doubtful tokens, in
+// thousands.
+constexpr double prior_tokens = 500;
+constexpr double prior_doubtful_tokens = 5;
+// Number of responses of the prior's mean duration that correspond to
+// prior_tokens.
+constexpr double prior_generations = prior_tokens *
+                                     engine_estimate{}.generation_ms_per_token /
+                                     engine_estimate{}.answer_ms;
+// Noise is proportional to duration, so each observation is scaled until the
+// larger of the expected and the observed time equals this value: an outlier
+// then has little weight, whichever of the two times is wrong.
 constexpr double typical_ms = 100;
-constexpr double shortest_ms = 1;
-// No engine reads a token faster: a bound for fits with little variation.
-constexpr double least_read_ms = 0.0005;
+constexpr double minimum_ms = 1;
+// Lower bound of the read time per token. It keeps fits over inputs with little
+// variation plausible: no engine reads faster.
+constexpr double minimum_read_ms = 0.0005;
 
 linear_fit<3> make_reading_fit()
 {
     const engine_estimate prior;
-    const auto read = prior.read_ms_per_token * thousand;
+    const auto read = prior.read_ms_per_token * token_unit;
     return {{prior.first_ms, read, read * prior.peers_part},
-            {trust, trust, firm_trust},
-            fading,
+            {prior_weight, prior_weight, strong_prior_weight},
+            decay,
             typical_ms};
 }
 
 linear_fit<2> make_gap_fit()
 {
     const engine_estimate prior;
-    return {{prior.gap_ms, prior.gap_ms_per_generation * ten},
-            {trust, trust},
-            fading,
+    return {{prior.gap_ms, prior.gap_ms_per_generation * generation_unit},
+            {prior_weight, prior_weight},
+            decay,
             typical_ms};
 }
 
 template <std::size_t Size>
-void add_scaled(linear_fit<Size>& fit, std::array<double, Size> seen, double ms)
+void add_scaled(linear_fit<Size>& fit, std::array<double, Size> inputs,
+                double ms)
 {
-    const auto scale = typical_ms / std::max({shortest_ms, fit.at(seen), ms});
-    for (auto& value : seen)
+    const auto scale =
+        typical_ms / std::max({minimum_ms, fit.predict(inputs), ms});
+    for (auto& value : inputs)
     {
         value *= scale;
     }
-    fit.add(seen, ms * scale);
+    fit.add(inputs, ms * scale);
 }
 
-// A mean that weighs each value by what it rests on.
+// Mean of values that are weighted by their number of observations.
 class weighted_mean
 {
 public:
@@ -76,9 +82,9 @@
         m_weight += weight;
     }
 
-    [[nodiscard]] double value_or(double otherwise) const
+    [[nodiscard]] double value_or(double fallback) const
     {
-        return m_weight > 0 ? m_sum / m_weight : otherwise;
+        return m_weight > 0 ? m_sum / m_weight : fallback;
     }
 
 private:
@@ -90,57 +96,58 @@
 
 engine_model::engine_model()
     : m_reading(make_reading_fit())
-    , m_doubtful_tokens(trusted_doubtful)
-    , m_read_tokens(trusted_doubtful * engine_estimate{}.doubtful_part)
+    , m_doubtful_tokens(prior_doubtful_tokens)
+    , m_read_tokens(prior_doubtful_tokens * engine_estimate{}.doubtful_part)
     , m_gaps(make_gap_fit())
-    , m_allowed_tokens(trusted_tokens)
-    , m_generating_ms(trusted_tokens *
-                      engine_estimate{}.generation_ms_per_token)
+    , m_allowed_tokens(prior_tokens)
+    , m_generating_ms(prior_tokens * engine_estimate{}.generation_ms_per_token)
 {
 }
 
-void engine_model::note_prompt(const prompt_seen& prompt, absl::Time now)
+void engine_model::observe_prompt(const prompt_observation& prompt,
+                                  absl::Time now)
 {
     const auto before =
-        (prompt.certain_tokens + prompt.ahead_tokens) / thousand;
-    const auto doubtful = prompt.doubtful_tokens / thousand;
-    const auto peers = prompt.peers_ahead_tokens / thousand;
-    // 1. How much of what is in doubt was read: all of it, none, or a part.
+        (prompt.certain_tokens + prompt.ahead_tokens) / token_unit;
+    const auto doubtful = prompt.doubtful_tokens / token_unit;
+    const auto peers = prompt.peers_ahead_tokens / token_unit;
+    // 1. Estimate how many of the doubtful tokens were read: all, none or some.
     if (doubtful > 0)
     {
         const auto excess_ms =
-            prompt.first_event_ms - m_reading.at({1, before, peers});
+            prompt.first_event_ms - m_reading.predict({1, before, peers});
         const auto read =
-            std::clamp(excess_ms / read_ms_per_thousand(), 0.0, doubtful);
-        m_doubtful_tokens = m_doubtful_tokens * fading + doubtful;
-        m_read_tokens = m_read_tokens * fading + read;
+            std::clamp(excess_ms / read_ms_per_unit(), 0.0, doubtful);
+        m_doubtful_tokens = m_doubtful_tokens * decay + doubtful;
+        m_read_tokens = m_read_tokens * decay + read;
     }
-    // 2. How long reading takes, with that part as it mostly is.
+    // 2. Fit the read time, with the mean fraction of the doubtful tokens.
     const auto expected = before + doubtful * m_read_tokens / m_doubtful_tokens;
     add_scaled<3>(m_reading, {1, expected, peers}, prompt.first_event_ms);
-    m_seen_at = now;
+    m_observed_at = now;
 }
 
-void engine_model::note_generation(const generation_seen& generation,
-                                   absl::Time now)
+void engine_model::observe_generation(const generation_observation& generation,
+                                      absl::Time now)
 {
-    m_seen_at = now;
-    m_generations = m_generations * fading + 1;
-    m_allowed_tokens = m_allowed_tokens * fading + generation.allowed_tokens;
-    m_generating_ms = m_generating_ms * fading + generation.first_to_last_ms;
+    m_observed_at = now;
+    m_generations = m_generations * decay + 1;
+    m_allowed_tokens = m_allowed_tokens * decay + generation.allowed_tokens;
+    m_generating_ms = m_generating_ms * decay + generation.first_to_last_ms;
     if (generation.events > 1)
     {
-        add_scaled<2>(m_gaps, {1, (generation.running - 1) / ten},
+        add_scaled<2>(m_gaps, {1, (generation.running - 1) / generation_unit},
                       generation.first_to_last_ms / (generation.events - 1));
     }
 }
 
-double engine_model::read_ms_per_thousand() const
+double engine_model::read_ms_per_unit() const
 {
-    return std::max(m_reading.coefficients()[1], least_read_ms * thousand);
+    return std::max(m_reading.coefficients()[1], minimum_read_ms * token_unit);
 }
 
-void engine_model::set_peer(const host_id& peer, const engine_estimate& learned)
+void engine_model::set_peer_estimate(const host_id& peer,
+                                     const engine_estimate& learned)
 {
     m_peers[peer] = learned;
 }
@@ -150,59 +157,59 @@
     m_peers.erase(peer);
 }
 
-engine_estimate engine_model::own() const
+engine_estimate engine_model::local_estimate() const
 {
     engine_estimate estimate;
     const auto& reading = m_reading.coefficients();
-    const auto read = read_ms_per_thousand();
+    const auto read = read_ms_per_unit();
     estimate.first_ms = std::max(0.0, reading[0]);
-    estimate.read_ms_per_token = read / thousand;
+    estimate.read_ms_per_token = read / token_unit;
     estimate.doubtful_part = m_read_tokens / m_doubtful_tokens;
     estimate.peers_part = std::clamp(reading[2] / read, 0.0, 1.0);
     const auto& gaps = m_gaps.coefficients();
     estimate.gap_ms = std::max(0.0, gaps[0]);
-    estimate.gap_ms_per_generation = std::max(0.0, gaps[1] / ten);
+    estimate.gap_ms_per_generation = std::max(0.0, gaps[1] / generation_unit);
     estimate.generation_ms_per_token = m_generating_ms / m_allowed_tokens;
-    estimate.answer_ms = m_generating_ms / (trusted_answers + m_generations);
+    estimate.answer_ms = m_generating_ms / (prior_generations + m_generations);
     estimate.prompts = m_reading.observations();
     estimate.generations = m_generations;
     estimate.first_error = m_reading.mean_error() / typical_ms;
-    estimate.seen_at = m_seen_at;
+    estimate.observed_at = m_observed_at;
     return estimate;
 }
 
 void engine_model::refresh()
 {
-    const auto mine = own();
-    auto joint = mine;
-    const auto join =
+    const auto local = local_estimate();
+    auto pooled = local;
+    const auto pool =
         [&](double engine_estimate::*value, double engine_estimate::*weight)
     {
         weighted_mean mean;
-        mean.add(mine.*value, mine.*weight);
+        mean.add(local.*value, local.*weight);
         for (const auto& [peer, learned] : m_peers)
         {
             mean.add(learned.*value, learned.*weight);
         }
-        joint.*value = mean.value_or(mine.*value);
+        pooled.*value = mean.value_or(local.*value);
     };
     using estimate = engine_estimate;
-    join(&estimate::first_ms, &estimate::prompts);
-    join(&estimate::read_ms_per_token, &estimate::prompts);
-    join(&estimate::doubtful_part, &estimate::prompts);
-    join(&estimate::peers_part, &estimate::prompts);
-    join(&estimate::first_error, &estimate::prompts);
-    join(&estimate::gap_ms, &estimate::generations);
-    join(&estimate::gap_ms_per_generation, &estimate::generations);
-    join(&estimate::generation_ms_per_token, &estimate::generations);
-    join(&estimate::answer_ms, &estimate::generations);
+    pool(&estimate::first_ms, &estimate::prompts);
+    pool(&estimate::read_ms_per_token, &estimate::prompts);
+    pool(&estimate::doubtful_part, &estimate::prompts);
+    pool(&estimate::peers_part, &estimate::prompts);
+    pool(&estimate::first_error, &estimate::prompts);
+    pool(&estimate::gap_ms, &estimate::generations);
+    pool(&estimate::gap_ms_per_generation, &estimate::generations);
+    pool(&estimate::generation_ms_per_token, &estimate::generations);
+    pool(&estimate::answer_ms, &estimate::generations);
     for (const auto& [peer, learned] : m_peers)
     {
-        joint.prompts += learned.prompts;
-        joint.generations += learned.generations;
-        joint.seen_at = std::max(joint.seen_at, learned.seen_at);
+        pooled.prompts += learned.prompts;
+        pooled.generations += learned.generations;
+        pooled.observed_at = std::max(pooled.observed_at, learned.observed_at);
     }
-    m_joint = joint;
+    m_pooled_estimate = pooled;
 }
 
 } // namespace daleshelf
--- a/libraries/engines/engine_table.hpp
+++ b/libraries/engines/engine_table.hpp
@@ -10,12 +10,12 @@
 namespace daleshelf
 {
 
-/// One model a service, made when it is first asked for.
+/// Holds one model per service, created on first access.
 class engine_table
 {
 public:
-    /// @return the service's model
-    engine_model& of(const service_name& service)
+    /// @return the service's model, created with priors if there is none
+    engine_model& model_of(const service_name& service)
     {
         return m_models[service];
     }
@@ -25,7 +25,7 @@
         return m_models;
     }
 
-    /// Joins what peers have told, for each service.
+    /// Updates the pooled estimate of each service.
     void refresh()
     {
         for (auto& [service, model] : m_models)
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Forgets a peer that is gone.
+    /// Removes the estimates of a peer that is gone.
     void drop_peer(const host_id& peer)
     {
         for (auto& [service, model] : m_models)
--- a/libraries/engines/forward.hpp
+++ b/libraries/engines/forward.hpp
@@ -10,8 +10,8 @@
 class engine_model;
 class engine_table;
 struct engine_estimate;
-struct generation_seen;
-struct prompt_seen;
+struct generation_observation;
+struct prompt_observation;
 template <std::size_t Size>
 class linear_fit;
 
--- a/libraries/engines/linear_fit.hpp
+++ b/libraries/engines/linear_fit.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A line, or plane, through observations that come one by one.
+/// Recursive robust least-squares fit.
 #pragma once
 
 #include <algorithm>
@@ -10,57 +10,56 @@
 namespace daleshelf
 {
 
-/// Fits y = c0 x0 + c1 x1 + ... by least squares. Old observations fade; one
-/// that lies far off counts less the farther it lies (Huber's weights), so that
-/// a few servers that stand still do not move the fit. Until enough is seen the
-/// prior decides.
-/// @tparam Size how many coefficients there are
+/// Fits y = c0 x0 + c1 x1 + ... by least squares with exponential decay.
+/// Outliers get Huber weights, so that a few stalled upstreams do not move the
+/// fit. The prior dominates until there are enough observations.
+/// @tparam Size number of coefficients
 template <std::size_t Size>
 class linear_fit
 {
 public:
     using vector = std::array<double, Size>;
 
-    /// @param prior coefficients before anything is seen
-    /// @param trust how firmly each is held: the sum of squares of its x that
-    /// observations need to weigh as much
-    /// @param fading what is left of an observation's weight after the next
-    /// @param error mean error before anything is seen
-    linear_fit(const vector& prior, const vector& trust, double fading,
+    /// @param prior coefficients before the first observation
+    /// @param prior_weight weight of each prior coefficient, as the sum of
+    /// squares of its x over observations of equal weight
+    /// @param decay factor applied to all weights by each new observation
+    /// @param error mean error before the first observation, in units of y
+    linear_fit(const vector& prior, const vector& prior_weight, double decay,
                double error)
-        : m_trust(trust)
-        , m_fading(fading)
+        : m_prior_weight(prior_weight)
+        , m_decay(decay)
         , m_coefficients(prior)
         , m_error(error)
     {
         for (std::size_t row = 0; row < Size; ++row)
         {
-            m_prior_sum[row] = trust[row] * prior[row];
+            m_prior_sum[row] = prior_weight[row] * prior[row];
         }
     }
 
-    /// Takes one observation.
+    /// Adds one observation.
     void add(const vector& x, double y)
     {
-        const auto error = std::abs(y - at(x));
-        const auto weight = weight_of(error);
-        m_count = m_count * m_fading + 1;
+        const auto error = std::abs(y - predict(x));
+        const auto weight = huber_weight(error);
+        m_count = m_count * m_decay + 1;
         m_error +=
-            (std::min(error, m_error * most_errors) - m_error) * newest_part;
+            (std::min(error, m_error * error_cap) - m_error) * error_smoothing;
         for (std::size_t row = 0; row < Size; ++row)
         {
             for (std::size_t column = 0; column < Size; ++column)
             {
-                m_products[row][column] = m_products[row][column] * m_fading +
+                m_products[row][column] = m_products[row][column] * m_decay +
                                           weight * x[row] * x[column];
             }
-            m_sums[row] = m_sums[row] * m_fading + weight * x[row] * y;
+            m_sums[row] = m_sums[row] * m_decay + weight * x[row] * y;
         }
         solve();
     }
 
-    /// @return what the fit gives for x
-    [[nodiscard]] double at(const vector& x) const
+    /// @return the fitted value at x
+    [[nodiscard]] double predict(const vector& x) const
     {
         double sum = 0;
         for (std::size_t index = 0; index < Size; ++index)
@@ -75,53 +74,54 @@
         return m_coefficients;
     }
 
-    /// @return how many observations still count
+    /// @return the decayed number of observations
     [[nodiscard]] double observations() const
     {
         return m_count;
     }
 
-    /// @return mean distance of observations from the fit, in units of y
+    /// @return smoothed mean absolute error of the fit, in units of y
     [[nodiscard]] double mean_error() const
     {
         return m_error;
     }
 
 private:
-    // Errors of more than so many mean errors count less.
-    static constexpr double usual_errors = 2;
-    // An error counts for no more than so many in the mean, which grows by a
-    // seventh at the most with each.
-    static constexpr double most_errors = 4;
-    // Weight of the newest error in the mean.
-    static constexpr double newest_part = 0.05;
+    // Errors beyond this multiple of the mean error have a reduced weight.
+    static constexpr double huber_threshold = 2;
+    // Each error enters the mean capped at this multiple of it, so that one
+    // observation raises the mean by at most a seventh.
+    static constexpr double error_cap = 4;
+    // Weight of the newest error in the exponential moving average.
+    static constexpr double error_smoothing = 0.05;
 
-    [[nodiscard]] double weight_of(double error) const
+    [[nodiscard]] double huber_weight(double error) const
     {
-        const auto usual = m_error * usual_errors;
-        return error <= usual ? 1.0 : usual / error;
+        const auto threshold = m_error * huber_threshold;
+        return error <= threshold ? 1.0 : threshold / error;
     }
 
-    // Gauss's elimination; the trust on the diagonal keeps it well defined.
+    // Gaussian elimination; the prior weights on the diagonal keep the matrix
+    // regular.
     void solve()
     {
         auto matrix = m_products;
         vector right;
         for (std::size_t row = 0; row < Size; ++row)
         {
-            matrix[row][row] += m_trust[row];
+            matrix[row][row] += m_prior_weight[row];
             right[row] = m_sums[row] + m_prior_sum[row];
         }
         for (std::size_t pivot = 0; pivot < Size; ++pivot)
         {
             for (std::size_t row = pivot + 1; row < Size; ++row)
             {
-                const auto part = matrix[row][pivot] / matrix[pivot][pivot];
+                const auto factor = matrix[row][pivot] / matrix[pivot][pivot];
                 for (std::size_t column = pivot; column < Size; ++column)
                 {
-                    matrix[row][column] -= part * matrix[pivot][column];
+                    matrix[row][column] -= factor * matrix[pivot][column];
                 }
-                right[row] -= part * right[pivot];
+                right[row] -= factor * right[pivot];
             }
         }
         for (std::size_t row = Size; row-- > 0;)
@@ -135,9 +135,9 @@
         }
     }
 
-    vector m_trust;
+    vector m_prior_weight;
     vector m_prior_sum{};
-    double m_fading;
+    double m_decay;
     std::array<vector, Size> m_products{};
     vector m_sums{};
     vector m_coefficients;
--- a/libraries/engines/service_work.hpp
+++ b/libraries/engines/service_work.hpp
@@ -1,18 +1,18 @@
 /// @file
-/// What requests have asked of a service.
+/// Work that requests bring to a service.
 #pragma once
 
 namespace daleshelf
 {
 
-/// Sums over the prompts that one host has sent since its start, or rates a
-/// second of all hosts.
+/// Sums over the prompts that one host has sent since its start, or total rates
+/// per second over all hosts.
 struct service_work
 {
     double prompts = 0;
-    double read_tokens = 0;         ///< expected to be read
-    double read_tokens_squared = 0; ///< sum of squares over prompts
-    double allowed_tokens = 0;      ///< the most that may be generated
+    double read_tokens = 0;         ///< expected prefill tokens
+    double read_tokens_squared = 0; ///< sum of their squares per prompt
+    double allowed_tokens = 0;      ///< sum of the output token limits
 
     service_work& operator+=(const service_work& other)
     {
--- a/services/gateway/peer_states.cpp
+++ b/services/gateway/peer_states.cpp
@@ -96,8 +96,8 @@
     {
         if (m_state.settings.learns_engines)
         {
-            m_state.engines.of(told.service)
-                .set_peer(state.self.name, told.learned);
+            m_state.engines.model_of(told.service)
+                .set_peer_estimate(state.self.name, told.learned);
         }
     }
 }
@@ -118,7 +118,8 @@
     for (const auto& [service, load] : m_state.loads)
     {
         state.services.push_back(
-            {service, load.work, m_state.engines.of(service).own()});
+            {service, load.work,
+             m_state.engines.model_of(service).local_estimate()});
     }
     for (const auto& [server, load] : m_state.choice.own_loads())
     {
--- a/services/gateway/request_choice.cpp
+++ b/services/gateway/request_choice.cpp
@@ -14,7 +14,7 @@
     wanted.service = m_service->name;
     wanted.is_engine = m_service->is_engine;
     wanted.facts = &m_facts;
-    wanted.engine = m_state.engines.of(m_service->name).joint();
+    wanted.engine = m_state.engines.model_of(m_service->name).pooled_estimate();
     wanted.excluded = m_tried;
     wanted.avoided_halls = m_broken_halls;
     mark_suspect(wanted);
--- a/services/gateway/request_engines.cpp
+++ b/services/gateway/request_engines.cpp
@@ -87,13 +87,14 @@
     {
         return;
     }
-    prompt_seen seen;
+    prompt_observation seen;
     seen.certain_tokens = m_work.certain_tokens;
     seen.doubtful_tokens = m_work.doubtful_tokens;
     seen.ahead_tokens = m_work.ahead_tokens;
     seen.peers_ahead_tokens = m_work.peers_ahead_tokens;
     seen.first_event_ms = to_ms(time);
-    m_state.engines.of(m_service->name).note_prompt(seen, gateway_state::now());
+    m_state.engines.model_of(m_service->name)
+        .observe_prompt(seen, gateway_state::now());
 }
 
 // A stream that came whole from one server tells how fast that generates.
@@ -105,13 +106,13 @@
     {
         return;
     }
-    generation_seen seen;
+    generation_observation seen;
     seen.allowed_tokens = static_cast<double>(m_facts.max_output_tokens);
     seen.events = static_cast<double>(events);
     seen.first_to_last_ms = to_ms(time);
     seen.running = static_cast<double>(m_work.running + 1);
-    m_state.engines.of(m_service->name)
-        .note_generation(seen, gateway_state::now());
+    m_state.engines.model_of(m_service->name)
+        .observe_generation(seen, gateway_state::now());
 }
 
 } // namespace daleshelf
--- a/services/gateway/scale_service.cpp
+++ b/services/gateway/scale_service.cpp
@@ -167,8 +167,8 @@
     const auto load = m_services.at(subject.service).meter.peak();
     const auto& models = m_state.engines.all();
     const auto model = models.find(subject.service);
-    const auto engine =
-        model == models.end() ? engine_estimate{} : model->second.joint();
+    const auto engine = model == models.end() ? engine_estimate{}
+                                              : model->second.pooled_estimate();
     log(events::servers_ordered,
         {{"service", subject.service.value()},
          {"hall", subject.hall.value()},
@@ -337,7 +337,9 @@
                    static_cast<int>(service.scaling.hall_prices.size());
     const auto peak = known->second.meter.peak();
     auto need = servers_needed(
-        peak, model == models.end() ? engine_estimate{} : model->second.joint(),
+        peak,
+        model == models.end() ? engine_estimate{}
+                              : model->second.pooled_estimate(),
         load == m_state.loads.end() ? std::vector<prompt_sample>{}
                                     : load->second.samples.all(),
         options);
--- a/tests/gateway/policy_test.cpp
+++ b/tests/gateway/policy_test.cpp
@@ -109,7 +109,8 @@
             [&]
             {
                 const auto learned =
-                    m_state.engines.of(service_name("service")).own();
+                    m_state.engines.model_of(service_name("service"))
+                        .local_estimate();
                 EXPECT_EQ(learned.prompts, learns ? 1 : 0);
                 EXPECT_EQ(learned.generations, learns ? 1 : 0);
             });
