--- a/libraries/scaling/capacity.cpp
+++ b/libraries/scaling/capacity.cpp
@@ -10,28 +10,29 @@
 {
 
 constexpr double ms_per_second = 1000;
-// Servers that are fuller than this hold work up with any variation.
-constexpr double fullest = 0.85;
-// Arrivals vary twice as much as if they were independent: users act in groups.
+// Above this utilization any variation of the load builds up queues.
+constexpr double max_utilization = 0.85;
+// Squared coefficient of variation of the time between arrivals, twice that of
+// independent arrivals: users act in groups.
 constexpr double arrival_variation = 2;
-// Choosing by loads that are up to a quarter second old is about as good as
-// the better of two servers, each with a queue of its own.
-constexpr double servers_in_choice = 2;
-// The pause between two events stays below this part of what is allowed, on
-// average: prompts read in between make single pauses longer.
-constexpr double gap_part = 0.7;
+// Routing by loads that are up to 250 ms old performs about like a choice of
+// the better of two upstreams that have a queue each.
+constexpr double effective_servers = 2;
+// Limit of the mean interval between events, as a fraction of the objective:
+// prompts that are read in between make single intervals longer.
+constexpr double mean_gap_fraction = 0.7;
 
-/// How long prompts are read, in ms.
-struct reading_time
+/// Mean and variation of the time to read a prompt.
+struct read_time_moments
 {
-    double mean = 0;
-    double variation = 0; ///< variance against the square of the mean
+    double mean = 0;      ///< in ms
+    double variation = 0; ///< squared coefficient of variation
 };
 
-reading_time time_to_read(const service_work& load,
-                          const engine_estimate& engine)
+read_time_moments read_time_of(const service_work& load,
+                               const engine_estimate& engine)
 {
-    reading_time time;
+    read_time_moments time;
     if (load.prompts <= 0 || load.read_tokens <= 0)
     {
         return time;
@@ -44,7 +45,8 @@
     return time;
 }
 
-// Generations that one server can run without pauses that are too long.
+// @return number of generations that one upstream can run at the same time
+// while the interval between events meets its objective
 double usable_slots(const engine_estimate& engine,
                     const capacity_options& options)
 {
@@ -53,56 +55,62 @@
     {
         return slots;
     }
-    const auto spare = options.gap_objective_ms * gap_part - engine.gap_ms;
-    if (spare <= 0)
+    const auto slack =
+        options.gap_objective_ms * mean_gap_fraction - engine.gap_ms;
+    if (slack <= 0)
     {
-        // A generation alone pauses for too long: fewer would not help it.
+        // Even a single generation misses the objective, so running fewer does
+        // not help.
         return slots;
     }
-    return std::clamp(1 + spare / engine.gap_ms_per_generation, 1.0, slots);
+    return std::clamp(1 + slack / engine.gap_ms_per_generation, 1.0, slots);
 }
 
-/// Waiting for the prompts of others, with a number of servers.
-class waiting
+/// Distribution of the time that a prompt waits for other prompts.
+class queueing_delay
 {
 public:
-    waiting(double fill, const reading_time& time)
+    queueing_delay(double utilization, const read_time_moments& time)
     {
-        // 1. The chance to wait at all: Sakasegawa, 1977.
-        m_chance = std::pow(fill, std::sqrt(2 * (servers_in_choice + 1)) - 1);
-        // 2. How long those wait that do: Kingman's bound for several servers.
+        // 1. Probability of any wait: Sakasegawa, 1977.
+        m_wait_probability =
+            std::pow(utilization, std::sqrt(2 * (effective_servers + 1)) - 1);
+        // 2. Mean wait of the prompts that wait: Kingman's bound for several
+        // upstreams.
         m_mean_ms = (arrival_variation + time.variation) / 2 * time.mean /
-                    (servers_in_choice * (1 - fill));
+                    (effective_servers * (1 - utilization));
     }
 
-    /// @return the chance to wait for longer than that
-    [[nodiscard]] double longer_than(double ms) const
+    /// @return probability of a wait of more than `ms` milliseconds
+    [[nodiscard]] double probability_above(double ms) const
     {
-        return m_mean_ms > 0 ? m_chance * std::exp(-ms / m_mean_ms) : 0;
+        return m_mean_ms > 0 ? m_wait_probability * std::exp(-ms / m_mean_ms)
+                             : 0;
     }
 
 private:
-    double m_chance;
+    double m_wait_probability;
     double m_mean_ms;
 };
 
-// @return of the prompts that can meet their objective, the part that misses it
-double late_part(const waiting& waits, const engine_estimate& engine,
+// @return the fraction of prompts that miss their objective, among those that
+// can meet it
+double late_part(const queueing_delay& delay, const engine_estimate& engine,
                  const std::vector<prompt_sample>& samples)
 {
     double late = 0;
-    double able = 0;
+    double feasible = 0;
     for (const auto& sample : samples)
     {
-        const auto spare =
+        const auto slack =
             sample.objective_ms - engine.first_event_ms(sample.read_tokens);
-        if (spare > 0)
+        if (slack > 0)
         {
-            able += 1;
-            late += waits.longer_than(spare);
+            feasible += 1;
+            late += delay.probability_above(slack);
         }
     }
-    return able > 0 ? late / able : 0;
+    return feasible > 0 ? late / feasible : 0;
 }
 
 } // namespace
@@ -112,38 +120,42 @@
                            const std::vector<prompt_sample>& samples,
                            const capacity_options& options)
 {
-    // 1. What must be there so that no work piles up: time to read, and places
-    // for the answers.
-    const auto time = time_to_read(load, engine);
-    const auto reading = load.prompts * time.mean / ms_per_second;
-    const auto generating =
+    // 1. The minimum keeps up with the arriving work: it has the time to read
+    // the prompts and the slots to generate the responses.
+    const auto time = read_time_of(load, engine);
+    const auto read_load = load.prompts * time.mean / ms_per_second;
+    const auto generation_load =
         load.allowed_tokens * engine.generation_ms_per_token / ms_per_second;
-    const auto places = (reading + generating) / usable_slots(engine, options);
-    const auto most = std::max(1, options.most);
+    const auto slot_load =
+        (read_load + generation_load) / usable_slots(engine, options);
+    const auto server_limit = std::max(1, options.server_limit);
     server_need need;
-    need.least = std::clamp(
-        static_cast<int>(std::ceil(std::max(reading, places) / fullest)), 1,
-        most);
-    // 2. More, until few wait for too long.
-    need.usual = need.least;
-    while (need.usual < most && late_part(waiting(reading / need.usual, time),
-                                          engine, samples) > options.late_part)
+    need.minimum =
+        std::clamp(static_cast<int>(std::ceil(std::max(read_load, slot_load) /
+                                              max_utilization)),
+                   1, server_limit);
+    // 2. The preferred number is raised until few prompts wait for too long.
+    need.preferred = need.minimum;
+    while (need.preferred < server_limit &&
+           late_part(queueing_delay(read_load / need.preferred, time), engine,
+                     samples) > options.late_part)
     {
-        ++need.usual;
+        ++need.preferred;
     }
     return need;
 }
 
-int servers_lacking(const service_work& load, int needed,
+int limit_shortfall(const service_work& load, int needed,
                     const std::vector<double>& limits)
 {
-    const auto usual = load.prompts / std::max(1, needed);
-    double lacking = 0;
+    const auto even_share = load.prompts / std::max(1, needed);
+    double shortfall = 0;
     for (const auto limit : limits)
     {
-        lacking += usual > 0 ? std::max(0.0, 1 - limit / usual) : 0.0;
+        shortfall +=
+            even_share > 0 ? std::max(0.0, 1 - limit / even_share) : 0.0;
     }
-    return static_cast<int>(std::lround(lacking));
+    return static_cast<int>(std::lround(shortfall));
 }
 
 } // namespace daleshelf
--- a/libraries/scaling/demand_meter.hpp
+++ b/libraries/scaling/demand_meter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the requests of all hosts ask of a service, a second.
+/// Rate of the work that all hosts send to a service.
 #pragma once
 
 #include <absl/time/time.h>
@@ -12,25 +12,28 @@
 namespace daleshelf
 {
 
-/// What one host has sent to a service since its start, as it told it.
-struct told_work
+/// Cumulative work that one host reports to have sent to a service since its
+/// start.
+struct reported_work
 {
     service_work work;
-    absl::Time told_at; ///< when that was heard
+    absl::Time reported_at; ///< time of receipt
 };
 
-/// Turns the work that hosts have sent since their starts into rates.
+/// Derives rates from the cumulative work of all hosts.
 class demand_meter
 {
 public:
-    /// @param memory for how long a peak counts
-    explicit demand_meter(absl::Duration memory) : m_memory(memory) {}
+    /// @param retention time window of the peak
+    explicit demand_meter(absl::Duration retention) : m_retention(retention) {}
 
-    /// Takes what each host has sent so far. What a host tells late was done in
-    /// all the time since it told before.
-    void note(const std::map<host_id, told_work>& work, absl::Time now);
+    /// Updates the rates. Work is spread over the time since the previous
+    /// report of its host.
+    /// @param work newest report of each host
+    /// @param now present time
+    void update(const std::map<host_id, reported_work>& work, absl::Time now);
 
-    /// @return work a second, each figure the highest of the last seconds
+    /// @return work per second, each field at its highest rate in the window
     [[nodiscard]] service_work peak() const;
 
 private:
@@ -40,20 +43,20 @@
         service_work rate;
     };
 
-    /// What was last heard of one host.
-    struct heard_host
+    /// State of one host, from its reports.
+    struct tracked_host
     {
-        told_work last;
-        service_work rate; ///< of one that tells rarely
+        reported_work last;
+        service_work rate; ///< of a host that reports infrequently
         absl::Time rate_until = absl::InfinitePast();
     };
 
-    void note(heard_host& host, const told_work& told);
-    [[nodiscard]] service_work told_rates(absl::Time now) const;
+    void update(tracked_host& host, const reported_work& reported);
+    [[nodiscard]] service_work slow_reporter_rates(absl::Time now) const;
 
-    absl::Duration m_memory;
-    std::map<host_id, heard_host> m_hosts;
-    service_work m_sum; ///< since the last sample
+    absl::Duration m_retention;
+    std::map<host_id, tracked_host> m_hosts;
+    service_work m_unsampled_work; ///< since the last sample
     absl::Time m_sampled_at = absl::InfinitePast();
     std::deque<sample> m_rates;
 };
--- a/libraries/scaling/initial_fleet.hpp
+++ b/libraries/scaling/initial_fleet.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The servers of a service before any order has changed their number.
+/// Number of upstreams of a service before the first order.
 #pragma once
 
 #include <absl/time/time.h>
@@ -9,28 +9,30 @@
 namespace daleshelf
 {
 
-/// Counts the servers that the operator has set up. A list of servers fills
-/// one by one after a first start: it says nothing of a fleet's size before it
-/// has stopped growing.
+/// Determines the number of upstreams that the operator has set up. They
+/// register one by one after a cold start, so the length of the list is the
+/// size of the fleet only after it has stopped growing.
 class initial_fleet
 {
 public:
-    /// @param settle_time for how long the list must not have grown
+    /// @param settle_time time without growth after which the list is complete
     explicit initial_fleet(absl::Duration settle_time)
         : m_settle_time(settle_time)
     {
     }
 
-    /// Takes the present number of servers.
-    void note(int present, absl::Time now)
+    /// Updates the number of registered upstreams.
+    /// @param present registered upstreams
+    /// @param now present time
+    void update(int present, absl::Time now)
     {
         if (has_settled(now))
         {
             return;
         }
-        if (present > m_servers || m_grown_at == absl::InfiniteFuture())
+        if (present > m_servers || m_last_growth == absl::InfiniteFuture())
         {
-            m_grown_at = now;
+            m_last_growth = now;
         }
         m_servers = std::max(m_servers, present);
     }
@@ -38,11 +40,11 @@
     /// @return whether the list has stopped growing
     [[nodiscard]] bool has_settled(absl::Time now) const
     {
-        return m_servers > 0 && now - m_grown_at >= m_settle_time;
+        return m_servers > 0 && now - m_last_growth >= m_settle_time;
     }
 
-    /// @return the most servers that were there before the list had settled
-    [[nodiscard]] int servers() const
+    /// @return the highest number of upstreams before the list has settled
+    [[nodiscard]] int server_count() const
     {
         return m_servers;
     }
@@ -50,7 +52,7 @@
 private:
     absl::Duration m_settle_time;
     int m_servers = 0;
-    absl::Time m_grown_at = absl::InfiniteFuture();
+    absl::Time m_last_growth = absl::InfiniteFuture();
 };
 
 } // namespace daleshelf
--- a/libraries/scaling/prompt_samples.hpp
+++ b/libraries/scaling/prompt_samples.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The newest prompts of a service, as a sample of what comes.
+/// The newest prompts of a service, as a sample of its load.
 #pragma once
 
 #include <cstddef>
@@ -8,39 +8,40 @@
 namespace daleshelf
 {
 
-/// One prompt and when its first event has to be there.
+/// One prompt and its time-to-first-event objective.
 struct prompt_sample
 {
-    double read_tokens = 0; ///< expected to be read
+    double read_tokens = 0; ///< expected prefill tokens
     double objective_ms = 0;
 };
 
-/// Keeps the newest prompts of this host.
+/// Ring buffer of this host's newest prompts.
 class prompt_samples
 {
 public:
-    /// Enough for the share of one prompt in fifty to show.
-    static constexpr std::size_t most_kept = 128;
+    /// Large enough to represent prompts that are one in fifty.
+    static constexpr std::size_t max_samples = 128;
 
     void add(const prompt_sample& sample)
     {
-        if (m_kept.size() < most_kept)
+        if (m_samples.size() < max_samples)
         {
-            m_kept.push_back(sample);
+            m_samples.push_back(sample);
             return;
         }
-        m_kept[m_next] = sample;
-        m_next = (m_next + 1) % most_kept;
+        m_samples[m_next_index] = sample;
+        m_next_index = (m_next_index + 1) % max_samples;
     }
 
     [[nodiscard]] const std::vector<prompt_sample>& all() const
     {
-        return m_kept;
+        return m_samples;
     }
 
 private:
-    std::vector<prompt_sample> m_kept;
-    std::size_t m_next = 0; ///< the oldest, once all places are taken
+    std::vector<prompt_sample> m_samples;
+    std::size_t m_next_index =
+        0; ///< the oldest sample, once the buffer is full
 };
 
 } // namespace daleshelf
--- a/libraries/scaling/scale_planner.cpp
+++ b/libraries/scaling/scale_planner.cpp
@@ -43,14 +43,15 @@
     return total;
 }
 
-int rounded_up(int value, int divisor)
+int divide_rounding_up(int value, int divisor)
 {
     return (value + divisor - 1) / divisor;
 }
 
-// Adds servers one by one, hall after hall, until `wanted` are added.
+// Adds `wanted` upstreams one by one, round robin over the halls, up to the
+// limit of each hall.
 void add_evenly(scale_plan& plan, const std::vector<hall_id>& halls,
-                int scale_target::*kind, int wanted, int most_in_hall)
+                int scale_target::*kind, int wanted, int hall_limit)
 {
     bool has_room = true;
     while (wanted > 0 && has_room)
@@ -59,7 +60,7 @@
         for (const auto& hall : halls)
         {
             auto& target = plan[hall];
-            if (wanted == 0 || total_of(target) >= most_in_hall)
+            if (wanted == 0 || total_of(target) >= hall_limit)
             {
                 continue;
             }
@@ -70,51 +71,53 @@
     }
 }
 
-/// Servers of each kind, over all halls.
+/// Number of upstreams of each kind over all halls.
 struct server_mix
 {
     int on_demand = 0;
     int spot = 0;
 };
 
-// Spot servers beside so many on demand, evenly in so many halls.
-// @return nothing if no number of them meets the need
-std::optional<int> spot_beside(int on_demand, int halls,
+// @return the spot upstreams that are needed in addition to the on-demand ones,
+// evenly over the halls; nothing if no number meets the need
+std::optional<int> spot_needed(int on_demand, int halls,
                                const server_need& need,
                                const scale_options& options)
 {
     const auto spare = std::min(options.spare_halls, halls);
-    const auto missing = need.least - on_demand;
+    const auto missing = need.minimum - on_demand;
     if (halls == spare && missing > 0)
     {
         return std::nullopt;
     }
-    auto spot = std::max(0, need.usual - on_demand);
+    auto spot = std::max(0, need.preferred - on_demand);
     if (missing > 0)
     {
-        // A hall that is taken away leaves what the others have.
-        spot = std::max(spot, rounded_up(missing, halls - spare) * halls);
+        // The loss of the spare halls must leave enough in the others.
+        spot =
+            std::max(spot, divide_rounding_up(missing, halls - spare) * halls);
     }
     return halls == 0 ? spot : std::max(spot, halls);
 }
 
-// @param spot_halls halls where spot servers are to be had
+// @param spot_halls number of halls with spot capacity
 server_mix cheapest_mix(int spot_halls, double spot_price,
                         const server_need& need, const scale_options& options)
 {
-    const auto dry = need.least + static_cast<int>((need.usual - need.least) *
-                                                   options.dry_part);
-    server_mix best{std::max(options.least_on_demand, dry), 0};
+    const auto without_spot =
+        need.minimum +
+        static_cast<int>((need.preferred - need.minimum) * options.dry_part);
+    server_mix best{std::max(options.least_on_demand, without_spot), 0};
     if (spot_halls == 0)
     {
         return best;
     }
     auto best_cost = std::numeric_limits<double>::infinity();
     for (auto on_demand = options.least_on_demand;
-         on_demand <= std::max(need.usual, options.least_on_demand);
+         on_demand <= std::max(need.preferred, options.least_on_demand);
          ++on_demand)
     {
-        const auto spot = spot_beside(on_demand, spot_halls, need, options);
+        const auto spot = spot_needed(on_demand, spot_halls, need, options);
         if (!spot)
         {
             continue;
@@ -137,9 +140,9 @@
 {
     scale_plan plan;
     const auto halls = halls_by_price(limits);
-    // 1. Halls where no more spot servers are to be had keep what they have.
-    std::vector<hall_id> with_spot;
-    int kept = 0;
+    // 1. Halls without further spot capacity keep their spot upstreams.
+    std::vector<hall_id> halls_with_spot;
+    int existing_spot = 0;
     for (const auto& hall : halls)
     {
         plan[hall] = {};
@@ -147,26 +150,27 @@
         if (limit != spot_limit.end())
         {
             plan[hall].spot = limit->second;
-            kept += limit->second;
+            existing_spot += limit->second;
         }
         else if (limits.spot_price > 0)
         {
-            with_spot.push_back(hall);
+            halls_with_spot.push_back(hall);
         }
     }
-    // 2. The cheapest mix of the rest: on demand in the cheapest halls first,
-    // spot in every hall, so that one that is cut off has servers.
-    const server_need rest{std::max(1, need.usual - kept),
-                           std::max(1, need.least - kept)};
-    const auto mix = cheapest_mix(static_cast<int>(with_spot.size()),
+    // 2. Cheapest mix for the rest: on-demand upstreams in the cheapest halls
+    // first, spot upstreams in every hall, so that a partitioned hall has some.
+    const server_need rest{std::max(1, need.preferred - existing_spot),
+                           std::max(1, need.minimum - existing_spot)};
+    const auto mix = cheapest_mix(static_cast<int>(halls_with_spot.size()),
                                   limits.spot_price, rest, options);
     add_evenly(plan, halls, &scale_target::on_demand, mix.on_demand,
                limits.max_servers);
-    add_evenly(plan, with_spot, &scale_target::spot, mix.spot,
+    add_evenly(plan, halls_with_spot, &scale_target::spot, mix.spot,
                limits.max_servers);
-    // 3. What halls had no room for has to be on demand elsewhere.
+    // 3. The part of the minimum that exceeds the limits of its halls is placed
+    // on demand in other halls.
     add_evenly(plan, halls, &scale_target::on_demand,
-               std::max(0, need.least - total_of(plan)), limits.max_servers);
+               std::max(0, need.minimum - total_of(plan)), limits.max_servers);
     for (auto& [hall, target] : plan)
     {
         const auto missing = limits.min_servers - total_of(target);
--- a/libraries/scaling/scale_planner.hpp
+++ b/libraries/scaling/scale_planner.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many servers each hall is to have.
+/// Plans the number of upstreams per hall.
 #pragma once
 
 #include "capacity.hpp"
@@ -10,7 +10,7 @@
 namespace daleshelf
 {
 
-/// How many servers of each kind a hall is to have.
+/// Target number of upstreams of each kind in one hall.
 struct scale_target
 {
     int on_demand = 0;
@@ -25,24 +25,28 @@
 /// Options of the plan.
 struct scale_options
 {
-    /// On-demand servers that are there whatever is cheapest: when every spot
-    /// server is taken away, some serve until others have started. Without
-    /// them the two worst windows of a day with reclaims and cuts earned 0.28
-    /// in place of 0.44 (six hosts, three plays each).
+    /// Lowest number of on-demand upstreams, whatever the cheapest mix is: when
+    /// every spot upstream is reclaimed, these serve until others have started.
+    /// Without them the two worst windows of a day with reclaims and partitions
+    /// scored 0.28 instead of 0.44 (six hosts, three simulations each).
     int least_on_demand = 2;
-    /// Halls whose spot servers may all be taken away at the same time, while
-    /// the need of the others is still met at its least.
+    /// Number of halls that may lose all spot upstreams at the same time while
+    /// the others still provide the minimum.
     int spare_halls = 1;
-    /// Where no spot server is to be had, so much of the way from the least to
-    /// the usual need is bought on demand.
+    /// Fraction of the difference between the minimum and the preferred number
+    /// that is ordered on demand where there is no spot capacity.
     double dry_part = 0.5;
 };
 
-/// Plans one service: the mix of on-demand and spot servers that costs least,
-/// of those that meet the usual need, and the least need when the spot servers
-/// of some halls are taken away. See docs/design/engines.md.
+/// Plans one service: the cheapest mix of on-demand and spot upstreams that
+/// provides the preferred number, and still provides the minimum after the spot
+/// upstreams of the spare halls are reclaimed. See docs/design/engines.md.
 /// @param limits the service's limits and prices
-/// @param spot_limit most spot servers of halls where no more are to be had
+/// @param need minimum and preferred number of upstreams
+/// @param spot_limit number of spot upstreams of halls without further spot
+/// capacity
+/// @param options safety margins of the plan
+/// @return targets by hall
 [[nodiscard]] scale_plan plan_servers(const scaling_limits& limits,
                                       const server_need& need,
                                       const std::map<hall_id, int>& spot_limit,
--- a/services/gateway/peer_exchange.cpp
+++ b/services/gateway/peer_exchange.cpp
@@ -154,13 +154,13 @@
     return machines;
 }
 
-std::map<host_id, told_work>
+std::map<host_id, reported_work>
 peer_exchange::work_of_all(const service_name& service) const
 {
-    std::map<host_id, told_work> work;
+    std::map<host_id, reported_work> work;
     // Whoever has sent nothing yet begins at nothing: its first work counts.
     auto& own = work[m_state.self];
-    own.told_at = gateway_state::now();
+    own.reported_at = gateway_state::now();
     const auto load = m_state.loads.find(service);
     if (load != m_state.loads.end())
     {
@@ -173,7 +173,7 @@
             continue;
         }
         auto& told = work[name];
-        told.told_at = peer.heard_at;
+        told.reported_at = peer.heard_at;
         for (const auto& sent : peer.state.services)
         {
             if (sent.service == service)
--- a/services/gateway/peer_exchange.hpp
+++ b/services/gateway/peer_exchange.hpp
@@ -111,7 +111,7 @@
 
     /// @return work asked for through all machines since their starts, in
     /// milliseconds of servers
-    [[nodiscard]] std::map<host_id, told_work>
+    [[nodiscard]] std::map<host_id, reported_work>
     work_of_all(const service_name& service) const;
 
 private:
--- a/services/gateway/scale_service.cpp
+++ b/services/gateway/scale_service.cpp
@@ -110,7 +110,8 @@
 // @param service as the plan was made for it; a newer configuration may come
 // while an order is on its way
 awaitable<void> scale_service::order(const ingress_service& service,
-                                     const server_need& need, removal& removes,
+                                     const server_need& need,
+                                     removal_budget& removes,
                                      const order_wanted& wanted)
 {
     const auto& subject = wanted.subject;
@@ -120,12 +121,12 @@
     const auto now = gateway_state::now();
     if (is_new && is_demand_known(service.name))
     {
-        known.count = taken_as_ordered(present_servers(subject), count);
+        known.count = assumed_order_count(present_servers(subject), count);
     }
     const auto boot_time = absl::FromChrono(service.scaling.boot_time);
-    if (has_lost_servers(subject, known, now - lost_after(boot_time)))
+    if (has_lost_servers(subject, known, now - loss_timeout(boot_time)))
     {
-        known.count = nothing_ordered;
+        known.count = unknown_order_count;
     }
     if (!is_due(known, count, now))
     {
@@ -133,7 +134,7 @@
     }
     if (count < known.count)
     {
-        count = removes.leave(staying_servers(subject), count);
+        count = removes.reduce_towards(staying_servers(subject), count);
         if (count >= known.count)
         {
             co_return;
@@ -174,8 +175,8 @@
          {"hall", subject.hall.value()},
          {"kind", subject.is_spot ? "spot" : "on_demand"},
          {"count", std::to_string(sent.count)},
-         {"usual", std::to_string(need.usual)},
-         {"least", std::to_string(need.least)},
+         {"usual", std::to_string(need.preferred)},
+         {"least", std::to_string(need.minimum)},
          {"prompts_per_s", std::to_string(load.prompts)},
          {"read_tokens_per_s", std::to_string(load.read_tokens)},
          {"read_ms_per_token", std::to_string(engine.read_ms_per_token)},
@@ -229,8 +230,8 @@
     return is_ordered ? std::min(present, known->second.count) : present;
 }
 
-removal scale_service::removal_for(const service_name& service,
-                                   const server_need& need) const
+removal_budget scale_service::removal_for(const service_name& service,
+                                          const server_need& need) const
 {
     int staying = 0;
     for (const auto& [hall, price] :
@@ -239,7 +240,7 @@
         staying += staying_servers({service, hall, true}) +
                    staying_servers({service, hall, false});
     }
-    return {staying, need.usual};
+    return {staying, need.preferred};
 }
 
 int scale_service::present_servers(const order_subject& subject) const
@@ -276,13 +277,13 @@
     const service_demand fresh{demand_meter(demand_memory),
                                initial_fleet(list_settle_time)};
     auto& known = m_services.try_emplace(service.name, fresh).first->second;
-    known.meter.note(m_peers.work_of_all(service.name), now);
+    known.meter.update(m_peers.work_of_all(service.name), now);
     if (known.meter.peak().prompts > 0)
     {
         known.since = std::min(known.since, now);
     }
     const auto present = m_state.servers.usable(service.name).size();
-    known.fleet.note(static_cast<int>(present), now);
+    known.fleet.update(static_cast<int>(present), now);
 }
 
 bool scale_service::is_demand_known(const service_name& service) const
@@ -310,12 +311,14 @@
     {
         return need;
     }
-    const auto part_of_fleet = [&](double part) {
+    const auto part_of_fleet = [&](double part)
+    {
         return static_cast<int>(
-            std::ceil(known->second.fleet.servers() * part));
+            std::ceil(known->second.fleet.server_count() * part));
     };
-    need.usual = std::max(need.usual, part_of_fleet(assumed_usual_part));
-    need.least = std::max(need.least, part_of_fleet(assumed_least_part));
+    need.preferred =
+        std::max(need.preferred, part_of_fleet(assumed_usual_part));
+    need.minimum = std::max(need.minimum, part_of_fleet(assumed_least_part));
     return need;
 }
 
@@ -333,8 +336,8 @@
     options.slots = service.engine_slots;
     options.gap_objective_ms = gap_objective_ms(service.name);
     options.late_part = m_state.settings.late_part;
-    options.most = service.scaling.max_servers *
-                   static_cast<int>(service.scaling.hall_prices.size());
+    options.server_limit = service.scaling.max_servers *
+                           static_cast<int>(service.scaling.hall_prices.size());
     const auto peak = known->second.meter.peak();
     auto need = servers_needed(
         peak,
@@ -343,10 +346,10 @@
         load == m_state.loads.end() ? std::vector<prompt_sample>{}
                                     : load->second.samples.all(),
         options);
-    need.usual =
-        std::min(std::max(need.usual, options.most),
-                 need.usual + servers_lacking(peak, need.usual,
-                                              limits_of(service.name)));
+    need.preferred =
+        std::min(std::max(need.preferred, options.server_limit),
+                 need.preferred + limit_shortfall(peak, need.preferred,
+                                                  limits_of(service.name)));
     return need;
 }
 
--- a/services/gateway/scale_service.hpp
+++ b/services/gateway/scale_service.hpp
@@ -11,7 +11,7 @@
 #include <scaling/demand_meter.hpp>
 #include <scaling/first_order.hpp>
 #include <scaling/initial_fleet.hpp>
-#include <scaling/removal.hpp>
+#include <scaling/removal_budget.hpp>
 #include <scaling/scale_planner.hpp>
 
 namespace daleshelf
@@ -41,7 +41,7 @@
 
     struct order_state
     {
-        int count = nothing_ordered;
+        int count = unknown_order_count;
         absl::Time ordered_at = absl::InfinitePast();
         absl::Time lower_since = absl::InfiniteFuture();
         absl::Time dry_until = absl::InfinitePast();
@@ -74,10 +74,10 @@
     awaitable<void> run();
     awaitable<void> order_all();
     awaitable<void> order(const ingress_service& service,
-                          const server_need& need, removal& removes,
+                          const server_need& need, removal_budget& removes,
                           const order_wanted& wanted);
-    [[nodiscard]] removal removal_for(const service_name& service,
-                                      const server_need& need) const;
+    [[nodiscard]] removal_budget removal_for(const service_name& service,
+                                             const server_need& need) const;
     [[nodiscard]] int staying_servers(const order_subject& subject) const;
     [[nodiscard]] bool is_due(order_state& known, int count,
                               absl::Time now) const;
