--- a/libraries/ingress/server_choice.hpp
+++ b/libraries/ingress/server_choice.hpp
@@ -15,7 +15,7 @@
 
 #include <engines/engine_estimate.hpp>
 #include <optional>
-#include <rollouts/rollout_watch.hpp>
+#include <rollouts/rollout_participant.hpp>
 
 namespace daleshelf
 {
@@ -47,7 +47,7 @@
     engine_estimate engine; ///< speed of the service's engines
     /// The version under roll-out that gets the request; nothing: the versions
     /// in use.
-    std::optional<picked_target> canary;
+    std::optional<canary_target> canary;
     absl::flat_hash_set<upstream_id> excluded; ///< already attempted
     /// Halls in which an attempt broke: the whole hall may be cut off.
     absl::flat_hash_set<hall_id> avoided_halls;
--- a/libraries/rollouts/version_judge.cpp
+++ b/libraries/rollouts/canary_analysis.cpp
@@ -1,4 +1,4 @@
-#include "version_judge.hpp"
+#include "canary_analysis.hpp"
 
 #include <algorithm>
 #include <array>
@@ -64,14 +64,15 @@
 }
 
 constexpr auto no_bound = std::numeric_limits<double>::infinity();
-constexpr test_sums highest_sums{no_bound, no_bound, no_bound};
+constexpr cusum_scores highest_sums{no_bound, no_bound, no_bound};
 
-test_sums next_sums(const test_sums& before, const answer_tally& news,
-                    const answer_tally& usual)
+cusum_scores next_sums(const cusum_scores& before,
+                       const response_statistics& news,
+                       const response_statistics& usual)
 {
     const auto rate = (usual.failures + prior_answers * prior_failures) /
                       (usual.answers + prior_answers);
-    test_sums sums;
+    cusum_scores sums;
     sums.failures = next_sum(before.failures, news.failures, news.answers, rate,
                              std::min(most_bad, rate + bad_failures));
     sums.first = next_slow_sum(before.first, news.first, usual.first);
@@ -79,7 +80,7 @@
     return sums;
 }
 
-test_sums lower_of(const test_sums& left, const test_sums& right)
+cusum_scores lower_of(const cusum_scores& left, const cusum_scores& right)
 {
     return {std::min(left.failures, right.failures),
             std::min(left.first, right.first), std::min(left.gaps, right.gaps)};
@@ -87,10 +88,10 @@
 
 } // namespace
 
-void version_judge::update(const rollout_tallies& seen)
+void canary_analysis::update(const rollout_statistics& seen)
 {
-    answer_tally all_old;
-    answer_tally all_target;
+    response_statistics all_old;
+    response_statistics all_target;
     for (const auto& [route, tally] : seen.old_version)
     {
         all_old += tally;
@@ -101,7 +102,7 @@
         const auto old_version = seen.old_version.find(route);
         update_route(m_routes[route],
                      old_version == seen.old_version.end()
-                         ? answer_tally()
+                         ? response_statistics()
                          : old_version->second,
                      tally);
     }
@@ -109,15 +110,15 @@
     m_answers = all_target.answers;
 }
 
-void version_judge::update_route(route_state& route,
-                                 const answer_tally& old_version,
-                                 const answer_tally& target)
+void canary_analysis::update_route(route_state& route,
+                                   const response_statistics& old_version,
+                                   const response_statistics& target)
 {
     const auto news = target.since(route.target_before);
     route.target_before = target;
     const auto old_news = old_version.since(route.old_before);
     route.old_before = old_version;
-    test_sums sums = highest_sums;
+    cusum_scores sums = highest_sums;
     for (std::size_t memory = 0; memory < fadings.size(); ++memory)
     {
         auto& lately = route.old_lately.at(memory);
@@ -128,9 +129,9 @@
     route.sums = sums;
 }
 
-judgement version_judge::verdict() const
+canary_verdict canary_analysis::verdict() const
 {
-    judgement found;
+    canary_verdict found;
     found.answers = m_answers;
     const auto weigh =
         [&](const std::string& route, const char* test, double sum)
--- a/libraries/rollouts/version_judge.hpp
+++ b/libraries/rollouts/canary_analysis.hpp
@@ -2,7 +2,7 @@
 /// Whether a version answers worse than the one that it is to replace.
 #pragma once
 
-#include "answer_tally.hpp"
+#include "response_statistics.hpp"
 
 #include <array>
 #include <map>
@@ -12,7 +12,7 @@
 {
 
 /// What the tests of one route have added up.
-struct test_sums
+struct cusum_scores
 {
     double failures = 0;
     double first = 0; ///< slow answers, or first events
@@ -20,7 +20,7 @@
 };
 
 /// What the judge has against a version.
-struct judgement
+struct canary_verdict
 {
     bool is_bad = false;
     std::string proof;    ///< the test and route that showed it
@@ -34,26 +34,28 @@
 /// that never falls below nothing, so that a version which turns bad late is
 /// found as fast as one that begins bad, and trouble that strikes both versions
 /// condemns neither. See docs/design/rollouts.md.
-class version_judge
+class canary_analysis
 {
 public:
     /// Takes all that was seen since the order, from time to time.
-    void update(const rollout_tallies& seen);
+    void update(const rollout_statistics& seen);
 
-    [[nodiscard]] judgement verdict() const;
+    [[nodiscard]] canary_verdict verdict() const;
 
 private:
     /// Of one route; the empty name stands for all together.
     struct route_state
     {
-        answer_tally old_before;
-        answer_tally target_before;
-        std::array<answer_tally, 2> old_lately; ///< fade, slowly and fast
-        test_sums sums;
+        response_statistics old_before;
+        response_statistics target_before;
+        std::array<response_statistics, 2>
+            old_lately; ///< fade, slowly and fast
+        cusum_scores sums;
     };
 
-    void update_route(route_state& route, const answer_tally& old_version,
-                      const answer_tally& target);
+    void update_route(route_state& route,
+                      const response_statistics& old_version,
+                      const response_statistics& target);
 
     std::map<std::string, route_state> m_routes;
     double m_answers = 0;
--- a/libraries/rollouts/forward.hpp
+++ b/libraries/rollouts/forward.hpp
@@ -5,22 +5,22 @@
 namespace daleshelf
 {
 
-class rollout_plan;
-class rollout_watch;
+class rollout_controller;
+class rollout_participant;
 class time_histogram;
 class version_gate;
-class version_judge;
-struct answer_seen;
-struct answer_tally;
-struct judgement;
-struct picked_target;
-struct rollout_bound;
+class canary_analysis;
+struct response_sample;
+struct response_statistics;
+struct canary_verdict;
+struct canary_target;
+struct exposure_bound;
 struct rollout_order;
 struct rollout_report;
 struct rollout_status;
 struct rollout_step;
-struct rollout_tallies;
-struct rollout_word;
-struct test_sums;
+struct rollout_statistics;
+struct rollout_directive;
+struct cusum_scores;
 
 } // namespace daleshelf
--- a/libraries/rollouts/answer_tally.cpp
+++ b/libraries/rollouts/response_statistics.cpp
@@ -1,11 +1,11 @@
-#include "answer_tally.hpp"
+#include "response_statistics.hpp"
 
 #include <algorithm>
 
 namespace daleshelf
 {
 
-void answer_tally::add(const answer_seen& seen)
+void response_statistics::add(const response_sample& seen)
 {
     answers += 1;
     if (seen.is_failure)
@@ -23,7 +23,7 @@
     }
 }
 
-void answer_tally::scale(double factor)
+void response_statistics::scale(double factor)
 {
     answers *= factor;
     failures *= factor;
@@ -31,7 +31,8 @@
     gaps.scale(factor);
 }
 
-answer_tally& answer_tally::operator+=(const answer_tally& other)
+response_statistics&
+response_statistics::operator+=(const response_statistics& other)
 {
     answers += other.answers;
     failures += other.failures;
@@ -40,9 +41,10 @@
     return *this;
 }
 
-answer_tally answer_tally::since(const answer_tally& earlier) const
+response_statistics
+response_statistics::since(const response_statistics& earlier) const
 {
-    answer_tally news;
+    response_statistics news;
     news.answers = std::max(0.0, answers - earlier.answers);
     news.failures = std::max(0.0, failures - earlier.failures);
     news.first = first.since(earlier.first);
@@ -50,7 +52,8 @@
     return news;
 }
 
-rollout_tallies& rollout_tallies::operator+=(const rollout_tallies& other)
+rollout_statistics&
+rollout_statistics::operator+=(const rollout_statistics& other)
 {
     sent_old += other.sent_old;
     sent_target += other.sent_target;
--- a/libraries/rollouts/answer_tally.hpp
+++ b/libraries/rollouts/response_statistics.hpp
@@ -11,7 +11,7 @@
 {
 
 /// One answer, or its failure.
-struct answer_seen
+struct response_sample
 {
     bool is_failure = false;
     /// To the whole answer, or to the first event against what was expected of
@@ -21,35 +21,37 @@
 };
 
 /// Answers of one version on one route.
-struct answer_tally
+struct response_statistics
 {
     double answers = 0;
     double failures = 0;
     time_histogram first;
     time_histogram gaps;
 
-    void add(const answer_seen& seen);
+    void add(const response_sample& seen);
 
     /// Lets what was counted fade.
     void scale(double factor);
 
-    answer_tally& operator+=(const answer_tally& other);
+    response_statistics& operator+=(const response_statistics& other);
 
     /// @return what this one has more than an earlier state of it
-    [[nodiscard]] answer_tally since(const answer_tally& earlier) const;
+    [[nodiscard]] response_statistics
+    since(const response_statistics& earlier) const;
 
-    friend bool operator==(const answer_tally&, const answer_tally&) = default;
+    friend bool operator==(const response_statistics&,
+                           const response_statistics&) = default;
 };
 
-using tallies_by_route = std::map<std::string, answer_tally>;
+using statistics_by_route = std::map<std::string, response_statistics>;
 
 /// What was seen of both versions since an order was known.
-struct rollout_tallies
+struct rollout_statistics
 {
     std::int64_t sent_old = 0;
     std::int64_t sent_target = 0;
-    tallies_by_route old_version;
-    tallies_by_route target;
+    statistics_by_route old_version;
+    statistics_by_route target;
 
     /// @return requests sent to either version
     [[nodiscard]] std::int64_t sent() const
@@ -57,10 +59,10 @@
         return sent_old + sent_target;
     }
 
-    rollout_tallies& operator+=(const rollout_tallies& other);
+    rollout_statistics& operator+=(const rollout_statistics& other);
 
-    friend bool operator==(const rollout_tallies&,
-                           const rollout_tallies&) = default;
+    friend bool operator==(const rollout_statistics&,
+                           const rollout_statistics&) = default;
 };
 
 } // namespace daleshelf
--- a/libraries/rollouts/rollout_plan.cpp
+++ b/libraries/rollouts/rollout_controller.cpp
@@ -1,4 +1,4 @@
-#include "rollout_plan.hpp"
+#include "rollout_controller.hpp"
 
 #include <algorithm>
 
@@ -35,13 +35,14 @@
 
 } // namespace
 
-rollout_plan::rollout_plan(rollout_order order, absl::Time ordered_at,
-                           const rollout_bound& bound)
+rollout_controller::rollout_controller(rollout_order order,
+                                       absl::Time ordered_at,
+                                       const exposure_bound& bound)
     : m_order(std::move(order)), m_ordered_at(ordered_at), m_bound(bound)
 {
 }
 
-void rollout_plan::take(const rollout_report& report)
+void rollout_controller::take(const rollout_report& report)
 {
     if (report.order != m_order.offset)
     {
@@ -54,9 +55,9 @@
     }
 }
 
-rollout_tallies rollout_plan::seen() const
+rollout_statistics rollout_controller::seen() const
 {
-    rollout_tallies sum;
+    rollout_statistics sum;
     for (const auto& [host, tallies] : m_reports)
     {
         sum += tallies;
@@ -64,7 +65,7 @@
     return sum;
 }
 
-rollout_step rollout_plan::next(absl::Time now)
+rollout_step rollout_controller::next(absl::Time now)
 {
     const auto all = seen();
     m_judge.update(all);
@@ -101,8 +102,8 @@
 }
 
 // The slack is dealt out over all requests that are expected.
-double rollout_plan::trial_share(const rollout_tallies& seen,
-                                 absl::Time now) const
+double rollout_controller::trial_share(const rollout_statistics& seen,
+                                       absl::Time now) const
 {
     const auto sent = static_cast<double>(seen.sent());
     const auto expected = sent + requests_left(seen, now);
@@ -119,8 +120,8 @@
 }
 
 // @return requests that may still come before the deadline
-double rollout_plan::requests_left(const rollout_tallies& seen,
-                                   absl::Time now) const
+double rollout_controller::requests_left(const rollout_statistics& seen,
+                                         absl::Time now) const
 {
     const auto passed = absl::ToDoubleSeconds(now - m_ordered_at);
     const auto left =
@@ -134,8 +135,8 @@
 }
 
 // Whether all requests until the deadline may go to the target.
-bool rollout_plan::may_move_all(const rollout_tallies& seen,
-                                absl::Time now) const
+bool rollout_controller::may_move_all(const rollout_statistics& seen,
+                                      absl::Time now) const
 {
     const auto sent = static_cast<double>(seen.sent());
     const auto left = requests_left(seen, now);
@@ -143,7 +144,7 @@
     return static_cast<double>(seen.sent_target) + left <= allowed * bound_part;
 }
 
-bool rollout_plan::is_within_share(const rollout_tallies& seen) const
+bool rollout_controller::is_within_share(const rollout_statistics& seen) const
 {
     const auto sent = static_cast<double>(seen.sent());
     const auto allowed = sent * m_bound.share + m_bound.slack;
--- a/libraries/rollouts/rollout_plan.hpp
+++ b/libraries/rollouts/rollout_controller.hpp
@@ -2,8 +2,8 @@
 /// How an order is carried out by the holder of the duties.
 #pragma once
 
+#include "canary_analysis.hpp"
 #include "rollout_message.hpp"
-#include "version_judge.hpp"
 
 #include <absl/time/time.h>
 
@@ -15,7 +15,7 @@
 {
 
 /// The users' bound on what a bad version may get.
-struct rollout_bound
+struct exposure_bound
 {
     double share = 0.1; ///< of the requests between the order and its deadline
     double slack = 50;  ///< requests besides
@@ -36,12 +36,12 @@
 /// have got no more than it may. It is taken back at the first proof. What was
 /// seen is told by hosts as sums since the order, so that another holder may go
 /// on. Free of I/O. See docs/design/rollouts.md.
-class rollout_plan
+class rollout_controller
 {
 public:
     /// @param ordered_at when the order was first seen, by any holder
-    rollout_plan(rollout_order order, absl::Time ordered_at,
-                 const rollout_bound& bound);
+    rollout_controller(rollout_order order, absl::Time ordered_at,
+                       const exposure_bound& bound);
 
     /// Takes a host's report.
     void take(const rollout_report& report);
@@ -55,27 +55,27 @@
     }
 
     /// @return all that was seen, by all hosts
-    [[nodiscard]] rollout_tallies seen() const;
+    [[nodiscard]] rollout_statistics seen() const;
 
-    [[nodiscard]] const version_judge& judge() const
+    [[nodiscard]] const canary_analysis& judge() const
     {
         return m_judge;
     }
 
 private:
-    [[nodiscard]] double trial_share(const rollout_tallies& seen,
+    [[nodiscard]] double trial_share(const rollout_statistics& seen,
                                      absl::Time now) const;
-    [[nodiscard]] double requests_left(const rollout_tallies& seen,
+    [[nodiscard]] double requests_left(const rollout_statistics& seen,
                                        absl::Time now) const;
-    [[nodiscard]] bool may_move_all(const rollout_tallies& seen,
+    [[nodiscard]] bool may_move_all(const rollout_statistics& seen,
                                     absl::Time now) const;
-    [[nodiscard]] bool is_within_share(const rollout_tallies& seen) const;
+    [[nodiscard]] bool is_within_share(const rollout_statistics& seen) const;
 
     rollout_order m_order;
     absl::Time m_ordered_at;
-    rollout_bound m_bound;
-    std::map<std::pair<host_id, incarnation>, rollout_tallies> m_reports;
-    version_judge m_judge;
+    exposure_bound m_bound;
+    std::map<std::pair<host_id, incarnation>, rollout_statistics> m_reports;
+    canary_analysis m_judge;
     absl::Time m_moved_at = absl::InfiniteFuture(); ///< all requests
 };
 
--- a/libraries/rollouts/rollout_message.cpp
+++ b/libraries/rollouts/rollout_message.cpp
@@ -37,8 +37,8 @@
     return histogram;
 }
 
-void write_routes(wire::RolloutReport& message, const tallies_by_route& tallies,
-                  bool is_target)
+void write_routes(wire::RolloutReport& message,
+                  const statistics_by_route& tallies, bool is_target)
 {
     for (const auto& [route, tally] : tallies)
     {
@@ -54,7 +54,7 @@
 
 } // namespace
 
-std::string encode(const rollout_word& word)
+std::string encode(const rollout_directive& word)
 {
     wire::RolloutWord message;
     message.set_format(word_format);
@@ -83,7 +83,8 @@
     return message.SerializeAsString();
 }
 
-std::optional<rollout_word> decode_rollout_word(std::string_view bytes)
+std::optional<rollout_directive>
+decode_rollout_directive(std::string_view bytes)
 {
     wire::RolloutWord read;
     const bool is_read =
@@ -94,13 +95,13 @@
     {
         return std::nullopt;
     }
-    return rollout_word{host_id(read.name()),
-                        service_name(read.service()),
-                        log_offset(read.order()),
-                        static_cast<rollout_phase>(read.phase()),
-                        read.share(),
-                        read.token(),
-                        read.sequence()};
+    return rollout_directive{host_id(read.name()),
+                             service_name(read.service()),
+                             log_offset(read.order()),
+                             static_cast<rollout_phase>(read.phase()),
+                             read.share(),
+                             read.token(),
+                             read.sequence()};
 }
 
 std::optional<rollout_report> decode_rollout_report(std::string_view bytes)
--- a/libraries/rollouts/rollout_message.hpp
+++ b/libraries/rollouts/rollout_message.hpp
@@ -2,7 +2,7 @@
 /// What hosts tell each other of roll-outs.
 #pragma once
 
-#include "answer_tally.hpp"
+#include "response_statistics.hpp"
 #include "rollout_order.hpp"
 
 #include <optional>
@@ -13,7 +13,7 @@
 {
 
 /// What the holder of the duties lets every host do, and asks for its report.
-struct rollout_word
+struct rollout_directive
 {
     host_id from;
     service_name service;
@@ -31,16 +31,16 @@
     incarnation started;
     service_name service;
     log_offset order;
-    rollout_tallies seen;
+    rollout_statistics seen;
 };
 
 /// @return the bytes of a datagram
-[[nodiscard]] std::string encode(const rollout_word& word);
+[[nodiscard]] std::string encode(const rollout_directive& word);
 [[nodiscard]] std::string encode(const rollout_report& report);
 
 /// @return the message, or nothing if the bytes are no such datagram
-[[nodiscard]] std::optional<rollout_word>
-decode_rollout_word(std::string_view bytes);
+[[nodiscard]] std::optional<rollout_directive>
+decode_rollout_directive(std::string_view bytes);
 [[nodiscard]] std::optional<rollout_report>
 decode_rollout_report(std::string_view bytes);
 
--- a/libraries/rollouts/rollout_watch.cpp
+++ b/libraries/rollouts/rollout_participant.cpp
@@ -1,4 +1,4 @@
-#include "rollout_watch.hpp"
+#include "rollout_participant.hpp"
 
 #include <xxhash.h>
 
@@ -27,13 +27,13 @@
 
 } // namespace
 
-rollout_watch::rollout_watch(host_id self, incarnation started,
-                             version_gate& gate)
+rollout_participant::rollout_participant(host_id self, incarnation started,
+                                         version_gate& gate)
     : m_self(std::move(self)), m_started(started), m_gate(gate)
 {
 }
 
-bool rollout_watch::hear(const rollout_word& word, absl::Time now)
+bool rollout_participant::hear(const rollout_directive& word, absl::Time now)
 {
     const auto* order = m_gate.order_of(word.service);
     if (order == nullptr || order->offset != word.order)
@@ -58,8 +58,8 @@
     return true;
 }
 
-std::optional<picked_target>
-rollout_watch::pick_target(const service_name& service, absl::Time now)
+std::optional<canary_target>
+rollout_participant::pick_target(const service_name& service, absl::Time now)
 {
     auto* known = running(service);
     const auto share = share_of(service, now);
@@ -73,11 +73,11 @@
         return std::nullopt;
     }
     known->credit -= 1;
-    return picked_target{m_gate.order_of(service)->target, share};
+    return canary_target{m_gate.order_of(service)->target, share};
 }
 
-double rollout_watch::share_of(const service_name& service,
-                               absl::Time now) const
+double rollout_participant::share_of(const service_name& service,
+                                     absl::Time now) const
 {
     const auto known = m_orders.find(service);
     const bool is_running = known != m_orders.end() && is_watching(service);
@@ -86,8 +86,8 @@
                : 0;
 }
 
-void rollout_watch::note_sent(const service_name& service,
-                              const version_name& version)
+void rollout_participant::record_sent(const service_name& service,
+                                      const version_name& version)
 {
     auto* known = running(service);
     if (known == nullptr)
@@ -98,10 +98,10 @@
     ++(is_target ? known->seen.sent_target : known->seen.sent_old);
 }
 
-void rollout_watch::note_answer(const service_name& service,
-                                const version_name& version,
-                                const std::string& route,
-                                const answer_seen& seen)
+void rollout_participant::note_answer(const service_name& service,
+                                      const version_name& version,
+                                      const std::string& route,
+                                      const response_sample& seen)
 {
     auto* known = running(service);
     if (known == nullptr)
@@ -114,7 +114,8 @@
     known->has_news = known->has_news || is_target;
 }
 
-std::optional<rollout_report> rollout_watch::report(const service_name& service)
+std::optional<rollout_report>
+rollout_participant::report(const service_name& service)
 {
     auto* known = running(service);
     if (known == nullptr)
@@ -126,13 +127,13 @@
                           known->seen};
 }
 
-bool rollout_watch::has_news(const service_name& service) const
+bool rollout_participant::has_news(const service_name& service) const
 {
     const auto known = m_orders.find(service);
     return known != m_orders.end() && known->second.has_news;
 }
 
-absl::Time rollout_watch::heard_at(const service_name& service) const
+absl::Time rollout_participant::heard_at(const service_name& service) const
 {
     const auto known = m_orders.find(service);
     return known == m_orders.end() ? absl::InfinitePast()
@@ -141,8 +142,8 @@
 
 // @return what is kept for the service's order, if one runs; a later order
 // begins anew
-rollout_watch::watched_order*
-rollout_watch::running(const service_name& service)
+rollout_participant::watched_order*
+rollout_participant::running(const service_name& service)
 {
     if (!is_watching(service))
     {
--- a/libraries/rollouts/rollout_watch.hpp
+++ b/libraries/rollouts/rollout_participant.hpp
@@ -14,7 +14,7 @@
 {
 
 /// The version that a request is to be tried with.
-struct picked_target
+struct canary_target
 {
     version_name version;
     double share = 0; ///< of all requests, that go to it now
@@ -24,15 +24,15 @@
 /// duties allows, as long as its word is heard, and counts what both versions
 /// answer. A host that does not hear it sends the target nothing. Free of I/O.
 /// See docs/design/rollouts.md.
-class rollout_watch
+class rollout_participant
 {
 public:
     /// @param gate what is known of orders; it outlives this
-    rollout_watch(host_id self, incarnation started, version_gate& gate);
+    rollout_participant(host_id self, incarnation started, version_gate& gate);
 
     /// Takes the holder's word; one that is older than what was heard is left.
     /// @return whether it was taken
-    bool hear(const rollout_word& word, absl::Time now);
+    bool hear(const rollout_directive& word, absl::Time now);
 
     /// @return whether an order for the service is being carried out
     [[nodiscard]] bool is_watching(const service_name& service) const
@@ -43,7 +43,7 @@
     /// A request for the service is to be sent.
     /// @return the version that it is to be tried with, if it is one of those
     /// that go to the target
-    [[nodiscard]] std::optional<picked_target>
+    [[nodiscard]] std::optional<canary_target>
     pick_target(const service_name& service, absl::Time now);
 
     /// @return the share of the service's requests that go to the target now
@@ -51,11 +51,11 @@
                                   absl::Time now) const;
 
     /// A request was sent to a server of the service.
-    void note_sent(const service_name& service, const version_name& version);
+    void record_sent(const service_name& service, const version_name& version);
 
     /// An answer has ended.
     void note_answer(const service_name& service, const version_name& version,
-                     const std::string& route, const answer_seen& seen);
+                     const std::string& route, const response_sample& seen);
 
     /// @return what this host has sent and seen for the service's order;
     /// nothing without one that runs
@@ -78,7 +78,7 @@
         double share = 0;
         absl::Time heard_at = absl::InfinitePast();
         double credit = 0; ///< of requests, that may go to the target
-        rollout_tallies seen;
+        rollout_statistics seen;
         bool has_news = false;
     };
 
--- a/libraries/rollouts/version_gate.cpp
+++ b/libraries/rollouts/version_gate.cpp
@@ -15,9 +15,9 @@
 
 } // namespace
 
-void version_gate::note_server(const service_name& service,
-                               const version_name& version, bool is_first_list,
-                               absl::Time now)
+void version_gate::record_server(const service_name& service,
+                                 const version_name& version,
+                                 bool is_first_list, absl::Time now)
 {
     auto& seen = m_versions[service];
     const bool is_only_one = seen.empty();
@@ -34,7 +34,7 @@
     at->second = {now, is_first_list || is_only_one || now < m_known_at};
 }
 
-void version_gate::note_orders_known(absl::Time as_of)
+void version_gate::set_orders_known_at(absl::Time as_of)
 {
     if (as_of <= m_known_at)
     {
@@ -61,7 +61,7 @@
     return true;
 }
 
-bool version_gate::drop_order(const service_name& service)
+bool version_gate::remove_order(const service_name& service)
 {
     return m_orders.erase(service) > 0;
 }
@@ -125,7 +125,7 @@
     return at == m_orders.end() ? nullptr : &at->second.order;
 }
 
-std::vector<service_name> version_gate::ordered_services() const
+std::vector<service_name> version_gate::services_with_orders() const
 {
     std::vector<service_name> services;
     for (const auto& [service, known] : m_orders)
--- a/libraries/rollouts/version_gate.hpp
+++ b/libraries/rollouts/version_gate.hpp
@@ -25,11 +25,11 @@
     /// A server of the version is listed.
     /// @param is_first_list whether it was there when this host began to serve:
     /// nothing can be told then of what is new
-    void note_server(const service_name& service, const version_name& version,
-                     bool is_first_list, absl::Time now);
+    void record_server(const service_name& service, const version_name& version,
+                       bool is_first_list, absl::Time now);
 
     /// The operator's orders are known as they stood at a time.
-    void note_orders_known(absl::Time as_of);
+    void set_orders_known_at(absl::Time as_of);
 
     /// Takes an order; one that is older than what is known is left.
     /// @return whether it is news
@@ -38,7 +38,7 @@
     /// An order has been taken back by its operator: what it started is
     /// treated as any version.
     /// @return whether there was one
-    bool drop_order(const service_name& service);
+    bool remove_order(const service_name& service);
 
     /// Sets how far a service's order has come. A final phase stays. Once the
     /// order is completed, the servers of all other versions have stopped,
@@ -57,7 +57,7 @@
     order_of(const service_name& service) const;
 
     /// @return the services that have an order
-    [[nodiscard]] std::vector<service_name> ordered_services() const;
+    [[nodiscard]] std::vector<service_name> services_with_orders() const;
 
     /// @return how far the service's order has come; nothing without an order
     [[nodiscard]] std::optional<rollout_phase>
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -181,7 +181,7 @@
         note_suspension();
         log_server_changes();
         m_state.skipped.write_line();
-        m_state.servers.versions().note_orders_known(
+        m_state.servers.versions().set_orders_known_at(
             gateway_state::to_time(m_configuration.known_at()));
         m_state.pool.sweep(now);
         m_state.choice.drop_unlisted();
@@ -318,7 +318,8 @@
               static_cast<double>(m_state.pool.connections_made()));
     double rollout_share = 0;
     int rollouts_running = 0;
-    for (const auto& service : m_state.servers.versions().ordered_services())
+    for (const auto& service :
+         m_state.servers.versions().services_with_orders())
     {
         rollouts_running += m_state.rollouts.is_watching(service) ? 1 : 0;
         rollout_share =
--- a/services/gateway/gateway_records.cpp
+++ b/services/gateway/gateway_records.cpp
@@ -26,11 +26,12 @@
 void gateway::take_operator_list(
     const std::map<std::string, platform::keyed_record>& records)
 {
-    for (const auto& service : m_state.servers.versions().ordered_services())
+    for (const auto& service :
+         m_state.servers.versions().services_with_orders())
     {
         if (!records.contains(platform::rollout_key(service)))
         {
-            m_state.servers.versions().drop_order(service);
+            m_state.servers.versions().remove_order(service);
         }
     }
 }
@@ -41,7 +42,7 @@
     auto& versions = m_state.servers.versions();
     if (!record.value)
     {
-        versions.drop_order(service);
+        versions.remove_order(service);
         return;
     }
     try
@@ -133,9 +134,9 @@
 void gateway::take_server(const server_entry& entry,
                           const platform::keyed_record& record)
 {
-    m_state.servers.versions().note_server(entry.service, entry.version,
-                                           !m_state.has_servers,
-                                           gateway_state::now());
+    m_state.servers.versions().record_server(entry.service, entry.version,
+                                             !m_state.has_servers,
+                                             gateway_state::now());
     const auto* before = m_state.servers.find(entry.id);
     const bool was_to_stay = before != nullptr && !before->is_draining;
     const auto born_before =
--- a/services/gateway/gateway_state.hpp
+++ b/services/gateway/gateway_state.hpp
@@ -24,7 +24,7 @@
 #include <peers/time_estimate.hpp>
 #include <poison/poison_detector.hpp>
 #include <poison/suspects_in_flight.hpp>
-#include <rollouts/rollout_watch.hpp>
+#include <rollouts/rollout_participant.hpp>
 #include <scaling/prompt_samples.hpp>
 #include <string_view>
 #include <telemetry/metrics.hpp>
@@ -84,7 +84,7 @@
     time_estimate clock;
     std::shared_ptr<const route_table> routes; ///< null until one is known
     server_directory servers;
-    rollout_watch rollouts;
+    rollout_participant rollouts;
     server_choice choice;
     connection_pool pool;
     quota_service quota;
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -236,7 +236,7 @@
     if (m_was_sent)
     {
         ++m_attempts;
-        m_state.rollouts.note_sent(server.service, server.version);
+        m_state.rollouts.record_sent(server.service, server.version);
     }
     else
     {
--- a/services/gateway/request_flow.hpp
+++ b/services/gateway/request_flow.hpp
@@ -144,7 +144,7 @@
     int m_attempts = 0;             ///< that have reached a server
     expected_work m_work;           ///< of the last attempt
     double m_expected_first_ms = 0; ///< of the last attempt, at an engine
-    answer_seen m_seen;             ///< of the last attempt
+    response_sample m_seen;         ///< of the last attempt
     int m_failed_connects = 0;
     absl::flat_hash_set<upstream_id> m_tried;
     /// Servers without room within their limits, for the log.
--- a/services/gateway/rollout_service.cpp
+++ b/services/gateway/rollout_service.cpp
@@ -70,7 +70,7 @@
     {
         timer.expires_after(tick);
         co_await timer.async_wait(use_result);
-        const auto services = m_state.servers.versions().ordered_services();
+        const auto services = m_state.servers.versions().services_with_orders();
         for (const auto& service : services)
         {
             co_await tend(service);
@@ -158,12 +158,12 @@
         }
     }
     const auto age = m_state.time_of_day() - status->ordered_at;
-    const rollout_bound bound{m_state.settings.rollout_share,
-                              m_state.settings.rollout_slack};
+    const exposure_bound bound{m_state.settings.rollout_share,
+                               m_state.settings.rollout_slack};
     m_led.insert_or_assign(
         order.service,
-        led_order{rollout_plan(order, gateway_state::now() - age, bound), token,
-                  ""});
+        led_order{rollout_controller(order, gateway_state::now() - age, bound),
+                  token, ""});
     co_return true;
 }
 
@@ -318,7 +318,7 @@
 // @return this host's report, if it is due
 std::string rollout_service::take_word(std::string_view bytes)
 {
-    const auto word = decode_rollout_word(bytes);
+    const auto word = decode_rollout_directive(bytes);
     if (!word || !m_state.rollouts.hear(*word, gateway_state::now()))
     {
         return "";
@@ -350,8 +350,9 @@
 void rollout_service::tell(const rollout_order& order, rollout_phase phase,
                            double share, std::int64_t token)
 {
-    const rollout_word word{m_state.self, order.service, order.offset, phase,
-                            share,        token,         ++m_sequence};
+    const rollout_directive word{m_state.self, order.service, order.offset,
+                                 phase,        share,         token,
+                                 ++m_sequence};
     m_state.rollouts.hear(word, gateway_state::now());
     m_peers.tell_all(encode(word));
 }
--- a/services/gateway/rollout_service.hpp
+++ b/services/gateway/rollout_service.hpp
@@ -10,7 +10,7 @@
 #include <map>
 #include <memory>
 #include <optional>
-#include <rollouts/rollout_plan.hpp>
+#include <rollouts/rollout_controller.hpp>
 
 namespace daleshelf
 {
@@ -31,7 +31,7 @@
     /// An order that this host carries out as the holder of the duties.
     struct led_order
     {
-        rollout_plan plan;
+        rollout_controller plan;
         std::int64_t token = -1; ///< under which it was begun
         std::string reason;      ///< of the last step, as logged
     };
--- a/tests/fuzz/make_corpus.cpp
+++ b/tests/fuzz/make_corpus.cpp
@@ -103,7 +103,7 @@
     ask.workspace = workspace_id("w");
     ask.amount = 12.5;
     inputs.add(3, encode(ask));
-    rollout_word word;
+    rollout_directive word;
     word.service = service_name("s");
     word.share = 0.1;
     inputs.add(4, encode(word));
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -87,7 +87,7 @@
                              &read_again<decode_shared_records>,
                              &read_again<decode_window_counts>,
                              &read_again<decode_quota_message>,
-                             &read_again<decode_rollout_word>,
+                             &read_again<decode_rollout_directive>,
                              &read_again<decode_rollout_report>,
                              &read_poison_again,
                              &read_limits_again};
--- a/tests/ingress/server_directory_test.cpp
+++ b/tests/ingress/server_directory_test.cpp
@@ -174,8 +174,8 @@
     target.version = version_name("v2");
     for (const auto& entry : {make_entry(1), target})
     {
-        directory.versions().note_server(entry.service, entry.version, true,
-                                         absl::UnixEpoch());
+        directory.versions().record_server(entry.service, entry.version, true,
+                                           absl::UnixEpoch());
         directory.set(entry);
     }
     EXPECT_EQ(directory.usable(service_name("s")).size(), 2);
--- a/tests/rollouts/version_judge_test.cpp
+++ b/tests/rollouts/canary_analysis_test.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include <random>
-#include <rollouts/version_judge.hpp>
+#include <rollouts/canary_analysis.hpp>
 
 namespace daleshelf
 {
@@ -51,7 +51,7 @@
         return -1;
     }
 
-    version_judge judge;
+    canary_analysis judge;
 
     [[nodiscard]] double bad_answers() const
     {
@@ -72,7 +72,7 @@
         const auto& how = is_target ? m_target : m_old;
         const bool is_bad = update >= how.from_update &&
                             (how.route.empty() || how.route == route);
-        answer_seen seen;
+        response_sample seen;
         seen.is_failure = random() < (is_bad ? how.failures : 0.005);
         const bool is_slow = is_bad && random() < how.slow;
         std::lognormal_distribution<double> time(4.5, 0.5);
@@ -90,13 +90,13 @@
     behaviour m_old;
     behaviour m_target;
     std::mt19937 m_random;
-    rollout_tallies m_seen;
+    rollout_statistics m_seen;
     double m_bad = 0;
 };
 
 constexpr std::uint32_t seeds = 400;
 
-TEST(version_judge, a_good_version_is_hardly_ever_condemned)
+TEST(canary_analysis, a_good_version_is_hardly_ever_condemned)
 {
     int condemned = 0;
     for (std::uint32_t seed = 1; seed <= seeds; ++seed)
@@ -107,7 +107,7 @@
 }
 
 // All servers fail four in ten of their requests for a while.
-TEST(version_judge, trouble_of_both_versions_condemns_neither)
+TEST(canary_analysis, trouble_of_both_versions_condemns_neither)
 {
     const behaviour grey{0.4, 0.3, 20, ""};
     int condemned = 0;
@@ -118,7 +118,7 @@
     EXPECT_LE(condemned, 8); // one in fifty
 }
 
-TEST(version_judge, a_bad_version_is_found_before_fifty_bad_answers)
+TEST(canary_analysis, a_bad_version_is_found_before_fifty_bad_answers)
 {
     const std::vector<behaviour> kinds{
         {0.3, 0, 0, ""},    {0.5, 0, 0, ""}, {0.005, 0.5, 0, ""},
@@ -141,7 +141,7 @@
     }
 }
 
-TEST(version_judge, says_what_condemned_a_version)
+TEST(canary_analysis, says_what_condemned_a_version)
 {
     trial played({}, {0.9, 0, 0, "long"}, 1);
     ASSERT_GE(played.play(), 0);
--- a/tests/rollouts/rollout_plan_test.cpp
+++ b/tests/rollouts/rollout_controller_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include <rollouts/rollout_plan.hpp>
+#include <rollouts/rollout_controller.hpp>
 
 namespace daleshelf
 {
@@ -10,7 +10,7 @@
 const service_name engines("engines");
 const rollout_order order{engines, version_name("v2"), absl::Seconds(14),
                           log_offset(5)};
-const rollout_bound bound{0.1, 50};
+const exposure_bound bound{0.1, 50};
 constexpr double requests_a_second = 160;
 
 absl::Time at(double second)
@@ -41,8 +41,8 @@
         }
     }
 
-    rollout_plan plan{order, at(0), bound};
-    rollout_tallies seen;
+    rollout_controller plan{order, at(0), bound};
+    rollout_statistics seen;
     std::optional<rollout_phase> end;
     double ended_at = 0;
     std::string reason;
@@ -83,7 +83,8 @@
     double m_failing = 0;
 };
 
-TEST(rollout_plan, a_good_version_is_completed_shortly_before_the_deadline)
+TEST(rollout_controller,
+     a_good_version_is_completed_shortly_before_the_deadline)
 {
     played_order played(0);
     played.play(20);
@@ -92,7 +93,7 @@
     EXPECT_LT(played.ended_at, 14);
 }
 
-TEST(rollout_plan, a_bad_version_is_taken_back_within_seconds)
+TEST(rollout_controller, a_bad_version_is_taken_back_within_seconds)
 {
     played_order played(0.4);
     played.play(20);
@@ -101,7 +102,7 @@
     EXPECT_LT(played.seen.target.at("r").failures, 50);
 }
 
-TEST(rollout_plan, one_that_turns_bad_late_is_taken_back)
+TEST(rollout_controller, one_that_turns_bad_late_is_taken_back)
 {
     played_order played(0.5, 9);
     played.play(20);
@@ -110,7 +111,8 @@
 }
 
 // Whatever it does in the last second.
-TEST(rollout_plan, what_turns_bad_as_all_move_to_it_stays_within_the_bound)
+TEST(rollout_controller,
+     what_turns_bad_as_all_move_to_it_stays_within_the_bound)
 {
     for (const double from : {0.0, 6.0, 12.0, 13.0, 13.5})
     {
@@ -123,9 +125,9 @@
 }
 
 // Nobody reports, or the version's servers have not come.
-TEST(rollout_plan, a_version_of_which_nothing_is_seen_is_not_completed)
+TEST(rollout_controller, a_version_of_which_nothing_is_seen_is_not_completed)
 {
-    rollout_plan plan(order, at(0), bound);
+    rollout_controller plan(order, at(0), bound);
     for (double second = 0; second < 60; second += 0.25)
     {
         const auto step = plan.next(at(second));
@@ -134,11 +136,11 @@
     }
 }
 
-TEST(rollout_plan, another_holder_goes_on_with_what_hosts_tell)
+TEST(rollout_controller, another_holder_goes_on_with_what_hosts_tell)
 {
     played_order first(0);
     first.play(8);
-    rollout_plan second(order, at(0), bound);
+    rollout_controller second(order, at(0), bound);
     second.take(
         {host_id("a"), incarnation(1), engines, order.offset, first.seen});
     EXPECT_FALSE(second.next(at(12)).end);
@@ -147,9 +149,9 @@
     EXPECT_EQ(step.share, 1);
 }
 
-TEST(rollout_plan, a_report_of_another_order_or_an_older_one_is_left)
+TEST(rollout_controller, a_report_of_another_order_or_an_older_one_is_left)
 {
-    rollout_plan plan(order, at(0), bound);
+    rollout_controller plan(order, at(0), bound);
     rollout_report report{
         host_id("a"), incarnation(1), engines, order.offset, {}};
     report.seen.sent_old = 9;
--- a/tests/rollouts/rollout_fleet.cpp
+++ b/tests/rollouts/rollout_fleet.cpp
@@ -69,9 +69,9 @@
     ++of.starts;
     of.waiting.clear();
     of.gate = std::make_unique<version_gate>();
-    of.watch = std::make_unique<rollout_watch>(of.name, incarnation(of.starts),
-                                               *of.gate);
-    of.gate->note_server(engines, old_version, true, now());
+    of.watch = std::make_unique<rollout_participant>(
+        of.name, incarnation(of.starts), *of.gate);
+    of.gate->record_server(engines, old_version, true, now());
     of.knows_order_at = m_second + step_seconds;
 }
 
@@ -162,7 +162,7 @@
         {
             return;
         }
-        m_leading = std::make_unique<rollout_plan>(
+        m_leading = std::make_unique<rollout_controller>(
             rollout_order{engines, target, absl::Seconds(m_plan.duration),
                           order_offset},
             absl::UnixEpoch() + absl::Seconds(100), bound);
@@ -172,7 +172,7 @@
         m_leading->take(*own);
     }
     const auto step = m_leading->next(now());
-    rollout_word word{
+    rollout_directive word{
         holder.name, engines, order_offset, rollout_phase::running,
         step.share,  m_token, ++m_sequence};
     tell(word);
@@ -187,7 +187,7 @@
     }
 }
 
-void rollout_fleet::tell(const rollout_word& word)
+void rollout_fleet::tell(const rollout_directive& word)
 {
     for (auto& of : m_hosts)
     {
@@ -233,7 +233,7 @@
     }
     if (m_second >= boot_seconds)
     {
-        of.gate->note_server(engines, target, false, now());
+        of.gate->record_server(engines, target, false, now());
     }
     for (const auto& word : std::exchange(of.waiting, {}))
     {
@@ -276,7 +276,7 @@
     {
         m_outcome.exposed_late += 1;
     }
-    of.watch->note_sent(engines, version);
+    of.watch->record_sent(engines, version);
     answer(of, version);
 }
 
@@ -287,7 +287,7 @@
     const bool is_bad_version = version == target &&
                                 m_second >= how.from_second &&
                                 (!how.on_one_route || is_rare_route);
-    answer_seen seen;
+    response_sample seen;
     seen.is_failure =
         random() < (is_bad_version ? how.failures : usual_failures);
     const bool is_slow = is_bad_version && random() < how.slow;
--- a/tests/rollouts/rollout_fleet.hpp
+++ b/tests/rollouts/rollout_fleet.hpp
@@ -8,8 +8,8 @@
 #include <map>
 #include <memory>
 #include <random>
-#include <rollouts/rollout_plan.hpp>
-#include <rollouts/rollout_watch.hpp>
+#include <rollouts/rollout_controller.hpp>
+#include <rollouts/rollout_participant.hpp>
 #include <vector>
 
 namespace daleshelf
@@ -67,7 +67,7 @@
 class rollout_fleet
 {
 public:
-    static constexpr rollout_bound bound{0.1, 50};
+    static constexpr exposure_bound bound{0.1, 50};
 
     explicit rollout_fleet(rollout_fleet_plan plan);
     [[nodiscard]] rollout_fleet_outcome play();
@@ -77,8 +77,8 @@
     {
         host_id name;
         std::unique_ptr<version_gate> gate;
-        std::unique_ptr<rollout_watch> watch;
-        std::vector<rollout_word> waiting; ///< words that came meanwhile
+        std::unique_ptr<rollout_participant> watch;
+        std::vector<rollout_directive> waiting; ///< words that came meanwhile
         std::int64_t starts = 0;
         double down_until = -1;
         double cut_until = -1;
@@ -92,7 +92,7 @@
     void strike(host& of, rollout_trouble::kind what, double until);
     void choose_holder();
     void lead(host& holder);
-    void tell(const rollout_word& word);
+    void tell(const rollout_directive& word);
     void step_host(host& of);
     void request(host& of);
     void answer(host& of, const version_name& version);
@@ -109,7 +109,7 @@
     std::size_t m_holder = 0;
     double m_holder_from = 0;
     std::int64_t m_token = 1;
-    std::unique_ptr<rollout_plan> m_leading;
+    std::unique_ptr<rollout_controller> m_leading;
     std::int64_t m_sequence = 0;
     double m_lossy_until = -100;
     double m_store_down_until = -1;
--- a/tests/rollouts/version_gate_test.cpp
+++ b/tests/rollouts/version_gate_test.cpp
@@ -26,8 +26,8 @@
 protected:
     version_gate_test()
     {
-        gate.note_server(engines, old_version, true, at(0));
-        gate.note_orders_known(at(1));
+        gate.record_server(engines, old_version, true, at(0));
+        gate.set_orders_known_at(at(1));
     }
 
     version_gate gate;
@@ -36,8 +36,8 @@
 TEST_F(version_gate_test, the_target_of_an_order_gets_nothing)
 {
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
-    gate.note_orders_known(at(20));
+    gate.record_server(engines, new_version, false, at(10));
+    gate.set_orders_known_at(at(20));
     EXPECT_FALSE(gate.allows(engines, new_version));
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
@@ -45,28 +45,28 @@
 // The list of servers may be read before the order that started them.
 TEST_F(version_gate_test, a_new_version_waits_until_its_order_would_be_known)
 {
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     EXPECT_FALSE(gate.allows(engines, new_version));
-    gate.note_orders_known(at(9.9));
+    gate.set_orders_known_at(at(9.9));
     EXPECT_FALSE(gate.allows(engines, new_version));
-    gate.note_orders_known(at(10.1));
+    gate.set_orders_known_at(at(10.1));
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
 
 TEST_F(version_gate_test, a_version_that_an_order_names_later_is_kept_back)
 {
-    gate.note_server(engines, new_version, false, at(10));
-    gate.note_orders_known(at(11));
+    gate.record_server(engines, new_version, false, at(10));
+    gate.set_orders_known_at(at(11));
     gate.set_order(order_of(new_version, 5));
     EXPECT_FALSE(gate.allows(engines, new_version));
 }
 
 TEST_F(version_gate_test, an_older_order_says_nothing_any_more)
 {
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     EXPECT_TRUE(gate.set_order(order_of(old_version, 7)));
     EXPECT_FALSE(gate.set_order(order_of(new_version, 5)));
-    gate.note_orders_known(at(11));
+    gate.set_orders_known_at(at(11));
     EXPECT_FALSE(gate.allows(engines, old_version));
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
@@ -74,7 +74,7 @@
 TEST_F(version_gate_test, a_completed_version_is_served_and_stays_so)
 {
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     const log_offset offset(5);
     EXPECT_FALSE(gate.set_phase(engines, log_offset(4),
                                 rollout_phase::completed, at(12)));
@@ -89,21 +89,21 @@
 TEST_F(version_gate_test, a_replaced_version_gets_nothing_until_started_anew)
 {
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     gate.set_phase(engines, log_offset(5), rollout_phase::completed, at(12));
     EXPECT_FALSE(gate.allows(engines, old_version));
-    gate.note_server(engines, old_version, false, at(14));
+    gate.record_server(engines, old_version, false, at(14));
     EXPECT_FALSE(gate.allows(engines, old_version));
-    gate.note_server(engines, old_version, false, at(40));
+    gate.record_server(engines, old_version, false, at(40));
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
 
 TEST_F(version_gate_test, a_version_that_was_taken_back_gets_nothing)
 {
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     gate.set_phase(engines, log_offset(5), rollout_phase::rolled_back, at(12));
-    gate.note_orders_known(at(20));
+    gate.set_orders_known_at(at(20));
     EXPECT_FALSE(gate.allows(engines, new_version));
 }
 
@@ -118,8 +118,8 @@
 TEST(version_gate, a_host_that_starts_keeps_the_target_back)
 {
     version_gate gate;
-    gate.note_server(engines, new_version, true, at(0));
-    gate.note_server(engines, old_version, true, at(0));
+    gate.record_server(engines, new_version, true, at(0));
+    gate.record_server(engines, old_version, true, at(0));
     gate.set_order(order_of(new_version, 5));
     EXPECT_FALSE(gate.allows(engines, new_version));
     EXPECT_TRUE(gate.allows(engines, old_version));
@@ -128,12 +128,12 @@
 TEST(version_gate, an_order_that_was_taken_back_keeps_nothing_back)
 {
     version_gate gate;
-    gate.note_server(engines, old_version, true, at(0));
+    gate.record_server(engines, old_version, true, at(0));
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
-    gate.note_orders_known(at(11));
-    EXPECT_TRUE(gate.drop_order(engines));
-    EXPECT_FALSE(gate.drop_order(engines));
+    gate.record_server(engines, new_version, false, at(10));
+    gate.set_orders_known_at(at(11));
+    EXPECT_TRUE(gate.remove_order(engines));
+    EXPECT_FALSE(gate.remove_order(engines));
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
 
