--- a/libraries/rollouts/canary_analysis.hpp
+++ b/libraries/rollouts/canary_analysis.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether a version answers worse than the one that it is to replace.
+/// Detects whether a new version responds worse than the one that it replaces.
 #pragma once
 
 #include "response_statistics.hpp"
@@ -11,46 +11,49 @@
 namespace daleshelf
 {
 
-/// What the tests of one route have added up.
+/// The cumulative sums of the tests of one route.
 struct cusum_scores
 {
     double failures = 0;
-    double first = 0; ///< slow answers, or first events
-    double gaps = 0;  ///< slow events after the first
+    double first_latency = 0; ///< slow responses or first events
+    double gaps = 0;          ///< slow gaps between events
 };
 
-/// What the judge has against a version.
+/// The result of the analysis.
 struct canary_verdict
 {
-    bool is_bad = false;
-    std::string proof;    ///< the test and route that showed it
-    double strongest = 0; ///< of all tests, against the bound of 1
-    double answers = 0;   ///< of the target, that were judged
+    bool is_bad = false;      ///< whether the target is to be rolled back
+    std::string evidence;     ///< the test and route with the highest score
+    double highest_score = 0; ///< of all tests; bad from 1 on
+    double responses = 0;     ///< of the target that were analyzed
 };
 
-/// Compares the target's answers with those of the old version in the same
-/// seconds: failures, time to the first event and between events, on each route
-/// and on all together. Each test is a cumulative sum of log-likelihood ratios
-/// that never falls below nothing, so that a version which turns bad late is
-/// found as fast as one that begins bad, and trouble that strikes both versions
-/// condemns neither. See docs/design/rollouts.md.
+/// Compares the target's responses with those of the old version in the same
+/// seconds: failures, time to the first event and time between events, on each
+/// route and on all routes together. Each test is a CUSUM: a sum of
+/// log-likelihood ratios that never falls below zero. A version that turns bad
+/// late is thus detected as fast as one that is bad from the start. Faults that
+/// affect both versions lead to a rollback of neither. See
+/// docs/design/rollouts.md.
 class canary_analysis
 {
 public:
-    /// Takes all that was seen since the order, from time to time.
-    void update(const rollout_statistics& seen);
+    /// Evaluates new responses; to be called regularly.
+    /// @param statistics cumulative, since the order
+    void update(const rollout_statistics& statistics);
 
+    /// @return the result for all responses so far
     [[nodiscard]] canary_verdict verdict() const;
 
 private:
-    /// Of one route; the empty name stands for all together.
+    /// The state of one route; the empty name stands for all routes together.
     struct route_state
     {
-        response_statistics old_before;
-        response_statistics target_before;
-        std::array<response_statistics, 2>
-            old_lately; ///< fade, slowly and fast
-        cusum_scores sums;
+        response_statistics previous_old;
+        response_statistics previous_target;
+        /// With slow and fast decay.
+        std::array<response_statistics, 2> recent_old;
+        cusum_scores scores;
     };
 
     void update_route(route_state& route,
@@ -58,7 +61,7 @@
                       const response_statistics& target);
 
     std::map<std::string, route_state> m_routes;
-    double m_answers = 0;
+    double m_responses = 0;
 };
 
 } // namespace daleshelf
--- a/libraries/rollouts/response_statistics.cpp
+++ b/libraries/rollouts/response_statistics.cpp
@@ -5,38 +5,38 @@
 namespace daleshelf
 {
 
-void response_statistics::add(const response_sample& seen)
+void response_statistics::add(const response_sample& sample)
 {
-    answers += 1;
-    if (seen.is_failure)
+    responses += 1;
+    if (sample.is_failure)
     {
         failures += 1;
         return;
     }
-    if (seen.first > 0)
+    if (sample.first_latency > 0)
     {
-        first.add(seen.first);
+        first_latency.add(sample.first_latency);
     }
-    if (seen.gap_ms > 0)
+    if (sample.gap_ms > 0)
     {
-        gaps.add(seen.gap_ms);
+        gaps.add(sample.gap_ms);
     }
 }
 
 void response_statistics::scale(double factor)
 {
-    answers *= factor;
+    responses *= factor;
     failures *= factor;
-    first.scale(factor);
+    first_latency.scale(factor);
     gaps.scale(factor);
 }
 
 response_statistics&
 response_statistics::operator+=(const response_statistics& other)
 {
-    answers += other.answers;
+    responses += other.responses;
     failures += other.failures;
-    first += other.first;
+    first_latency += other.first_latency;
     gaps += other.gaps;
     return *this;
 }
@@ -44,12 +44,12 @@
 response_statistics
 response_statistics::since(const response_statistics& earlier) const
 {
-    response_statistics news;
-    news.answers = std::max(0.0, answers - earlier.answers);
-    news.failures = std::max(0.0, failures - earlier.failures);
-    news.first = first.since(earlier.first);
-    news.gaps = gaps.since(earlier.gaps);
-    return news;
+    response_statistics added;
+    added.responses = std::max(0.0, responses - earlier.responses);
+    added.failures = std::max(0.0, failures - earlier.failures);
+    added.first_latency = first_latency.since(earlier.first_latency);
+    added.gaps = gaps.since(earlier.gaps);
+    return added;
 }
 
 rollout_statistics&
@@ -57,13 +57,13 @@
 {
     sent_old += other.sent_old;
     sent_target += other.sent_target;
-    for (const auto& [route, tally] : other.old_version)
+    for (const auto& [route, statistics] : other.old_version)
     {
-        old_version[route] += tally;
+        old_version[route] += statistics;
     }
-    for (const auto& [route, tally] : other.target)
+    for (const auto& [route, statistics] : other.target)
     {
-        target[route] += tally;
+        target[route] += statistics;
     }
     return *this;
 }
--- a/libraries/rollouts/response_statistics.hpp
+++ b/libraries/rollouts/response_statistics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What was seen of one version's answers.
+/// Statistics of the responses of service versions.
 #pragma once
 
 #include "time_histogram.hpp"
@@ -10,32 +10,34 @@
 namespace daleshelf
 {
 
-/// One answer, or its failure.
+/// The measurements of one response, which may be a failure.
 struct response_sample
 {
     bool is_failure = false;
-    /// To the whole answer, or to the first event against what was expected of
-    /// it, in percent; 0: unknown.
-    double first = 0;
-    double gap_ms = 0; ///< mean time between events; 0: none
+    /// Milliseconds until the response is complete; for engines, the time to
+    /// the first event as a percentage of the estimate; 0: unknown.
+    double first_latency = 0;
+    double gap_ms = 0; ///< mean time between events; 0: unknown
 };
 
-/// Answers of one version on one route.
+/// Response statistics of one version on one route.
 struct response_statistics
 {
-    double answers = 0;
+    double responses = 0;
     double failures = 0;
-    time_histogram first;
+    time_histogram first_latency;
     time_histogram gaps;
 
-    void add(const response_sample& seen);
+    /// Counts one response.
+    void add(const response_sample& sample);
 
-    /// Lets what was counted fade.
+    /// Multiplies all counts by a factor, for exponential decay.
     void scale(double factor);
 
     response_statistics& operator+=(const response_statistics& other);
 
-    /// @return what this one has more than an earlier state of it
+    /// @param earlier a previous state of these statistics
+    /// @return the counts added since then
     [[nodiscard]] response_statistics
     since(const response_statistics& earlier) const;
 
@@ -45,7 +47,8 @@
 
 using statistics_by_route = std::map<std::string, response_statistics>;
 
-/// What was seen of both versions since an order was known.
+/// Requests sent and responses received, by version, since an order became
+/// known.
 struct rollout_statistics
 {
     std::int64_t sent_old = 0;
@@ -53,7 +56,7 @@
     statistics_by_route old_version;
     statistics_by_route target;
 
-    /// @return requests sent to either version
+    /// @return the number of requests sent to either version
     [[nodiscard]] std::int64_t sent() const
     {
         return sent_old + sent_target;
--- a/libraries/rollouts/rollout_controller.cpp
+++ b/libraries/rollouts/rollout_controller.cpp
@@ -8,30 +8,33 @@
 namespace
 {
 
-// Of what the bound allows, that the target gets while it is judged: the other
-// half is left to move all shortly before the deadline.
-constexpr double trial_part = 0.5;
-// Requests are counted for this long before it is known how many will come, and
-// so how much of the slack each may take.
-constexpr absl::Duration counting_time = absl::Seconds(1);
-constexpr double first_part = 0.4;
-// What hosts have sent and not told yet, and requests that come faster.
-constexpr double bound_part = 0.9;
-// Old servers end at once when the order is completed: calls that they have
-// begun end meanwhile, and hosts hear that all is to move.
-constexpr absl::Duration move_time = absl::Milliseconds(250);
-// What is kept for the move at the least: its time, a quarter second until it
-// is looked for, and what an order is read late, up to 0.5 s in troubles (one
-// play).
-constexpr double kept_seconds = 0.9;
-// A version is tried with this part of the requests at the least, though an
-// order of a few seconds may then be completed late.
-constexpr double least_trial = 0.02;
-// Fewer answers of a version prove nothing for it: of a bad one with one
-// failure in five, thirty are good once in 800 times.
-constexpr double least_answers = 30;
-// With so much against it a version is not completed.
-constexpr double doubt = 0.5;
+// The part of the exposure bound that the canary phase may use. The other half
+// is needed to move all requests shortly before the deadline.
+constexpr double canary_fraction = 0.5;
+// The request rate is estimated after this time. Until then the number of
+// requests that share the slack is unknown, and the target receives
+// `initial_fraction` of the bound's share.
+constexpr absl::Duration rate_estimation_time = absl::Seconds(1);
+constexpr double initial_fraction = 0.4;
+// The margin covers requests that hosts have sent but not reported yet, and an
+// increase of the request rate.
+constexpr double bound_margin = 0.9;
+// All requests go to the target for this long before the order is completed,
+// because old upstreams stop at once on completion. Their requests in flight
+// finish in this time, and hosts learn that all requests are to move.
+constexpr absl::Duration full_share_time = absl::Milliseconds(250);
+// The minimum time reserved before the deadline for moving all requests: the
+// full share time, a quarter second until the next step, and the delay with
+// which an order is read, up to 0.5 s during faults.
+constexpr double reserved_seconds = 0.9;
+// The minimum share of the canary phase. With it an order of a few seconds may
+// be completed late.
+constexpr double min_canary_share = 0.02;
+// Fewer responses are no evidence that the target is good: of a version that
+// fails one request in five, thirty responses are all good once in 800 cases.
+constexpr double min_responses = 30;
+// From this score on an order is not completed; a target is bad from 1 on.
+constexpr double max_completion_score = 0.5;
 
 } // namespace
 
@@ -42,113 +45,123 @@
 {
 }
 
-void rollout_controller::take(const rollout_report& report)
+void rollout_controller::add_report(const rollout_report& report)
 {
     if (report.order != m_order.offset)
     {
         return;
     }
-    auto& known = m_reports[{report.from, report.started}];
-    if (report.seen.sent() >= known.sent())
+    auto& stored = m_reports[{report.sender, report.sender_incarnation}];
+    if (report.statistics.sent() >= stored.sent())
     {
-        known = report.seen;
+        stored = report.statistics;
     }
 }
 
-rollout_statistics rollout_controller::seen() const
+rollout_statistics rollout_controller::statistics() const
 {
     rollout_statistics sum;
-    for (const auto& [host, tallies] : m_reports)
+    for (const auto& [host, reported] : m_reports)
     {
-        sum += tallies;
+        sum += reported;
     }
     return sum;
 }
 
-rollout_step rollout_controller::next(absl::Time now)
+rollout_step rollout_controller::next_step(absl::Time now)
 {
-    const auto all = seen();
-    m_judge.update(all);
-    const auto found = m_judge.verdict();
-    // 1. A version that is proved bad is taken back, however late.
-    if (found.is_bad)
+    const auto totals = statistics();
+    m_analysis.update(totals);
+    const auto result = m_analysis.verdict();
+    // 1. Roll back a version that is found bad, at any time.
+    if (result.is_bad)
     {
-        return {0, rollout_phase::rolled_back, found.proof};
+        return {0, rollout_phase::rolled_back, result.evidence};
     }
-    // 2. All requests are moved for a while before the order is completed.
-    if (m_moved_at <= now)
+    // 2. Send all requests to the target for a while, then complete the order.
+    if (m_all_moved_at <= now)
     {
-        const bool is_done = now - m_moved_at >= move_time;
-        return {
-            1, is_done ? std::optional(rollout_phase::completed) : std::nullopt,
-            "no proof against it"};
+        const bool is_complete = now - m_all_moved_at >= full_share_time;
+        return {1,
+                is_complete ? std::optional(rollout_phase::completed)
+                            : std::nullopt,
+                "no conclusive evidence against the target"};
     }
-    // 3. Nobody is moved to a version of which too little was seen, or against
-    // which much speaks.
-    const bool is_judged =
-        found.answers >= least_answers && found.strongest < doubt;
-    if (is_judged && may_move_all(all, now))
+    // 3. Move all requests to the target if there are enough responses, no
+    // strong evidence against it, and few enough requests left until the
+    // deadline.
+    const bool is_acceptable = result.responses >= min_responses &&
+                               result.highest_score < max_completion_score;
+    if (is_acceptable && can_move_all(totals, now))
     {
-        m_moved_at = now;
-        return {1, std::nullopt, "as late as the bound asks for"};
+        m_all_moved_at = now;
+        return {1, std::nullopt,
+                "the exposure bound allows moving all requests"};
     }
-    // 4. Meanwhile a small share.
-    if (!is_within_share(all))
+    // 4. Otherwise send the canary share.
+    if (!is_within_bound(totals))
     {
-        return {0, std::nullopt, "the share is used up"};
+        return {0, std::nullopt, "the exposure bound is reached"};
     }
-    return {trial_share(all, now), std::nullopt,
-            is_judged ? "until the deadline" : "too little was seen"};
+    return {canary_share(totals, now), std::nullopt,
+            is_acceptable ? "waiting for the deadline"
+                          : "too few responses from the target"};
 }
 
-// The slack is dealt out over all requests that are expected.
-double rollout_controller::trial_share(const rollout_statistics& seen,
-                                       absl::Time now) const
+// The slack is spread over all requests expected until the deadline.
+// @return the share of requests for the target in the canary phase
+double rollout_controller::canary_share(const rollout_statistics& statistics,
+                                        absl::Time now) const
 {
-    const auto sent = static_cast<double>(seen.sent());
-    const auto expected = sent + requests_left(seen, now);
-    if (now - m_ordered_at < counting_time || expected <= 0)
+    const auto sent = static_cast<double>(statistics.sent());
+    const auto expected = sent + expected_requests(statistics, now);
+    if (now - m_ordered_at < rate_estimation_time || expected <= 0)
     {
-        return m_bound.share * first_part;
+        return m_bound.share * initial_fraction;
     }
     const auto duration = absl::ToDoubleSeconds(m_order.duration);
     const auto allowed = m_bound.share + m_bound.slack / expected;
-    const auto kept = kept_seconds / duration;
-    const auto trial =
-        std::min(allowed * trial_part, allowed * bound_part - kept);
-    return std::clamp(trial, std::min(least_trial, m_bound.share), 1.0);
+    const auto reserved = reserved_seconds / duration;
+    const auto canary =
+        std::min(allowed * canary_fraction, allowed * bound_margin - reserved);
+    return std::clamp(canary, std::min(min_canary_share, m_bound.share), 1.0);
 }
 
-// @return requests that may still come before the deadline
-double rollout_controller::requests_left(const rollout_statistics& seen,
-                                         absl::Time now) const
+// @return the number of requests expected from now to the deadline
+double
+rollout_controller::expected_requests(const rollout_statistics& statistics,
+                                      absl::Time now) const
 {
-    const auto passed = absl::ToDoubleSeconds(now - m_ordered_at);
-    const auto left =
+    const auto elapsed = absl::ToDoubleSeconds(now - m_ordered_at);
+    const auto remaining =
         absl::ToDoubleSeconds(m_ordered_at + m_order.duration - now);
-    if (passed <= 0 || left <= 0)
+    if (elapsed <= 0 || remaining <= 0)
     {
         return 0;
     }
-    const auto sent = static_cast<double>(seen.sent());
-    return sent / passed * left;
+    const auto sent = static_cast<double>(statistics.sent());
+    return sent / elapsed * remaining;
 }
 
-// Whether all requests until the deadline may go to the target.
-bool rollout_controller::may_move_all(const rollout_statistics& seen,
+// @return whether all requests until the deadline may go to the target without
+// exceeding the exposure bound
+bool rollout_controller::can_move_all(const rollout_statistics& statistics,
                                       absl::Time now) const
 {
-    const auto sent = static_cast<double>(seen.sent());
-    const auto left = requests_left(seen, now);
-    const auto allowed = (sent + left) * m_bound.share + m_bound.slack;
-    return static_cast<double>(seen.sent_target) + left <= allowed * bound_part;
+    const auto sent = static_cast<double>(statistics.sent());
+    const auto remaining = expected_requests(statistics, now);
+    const auto allowed = (sent + remaining) * m_bound.share + m_bound.slack;
+    return static_cast<double>(statistics.sent_target) + remaining <=
+           allowed * bound_margin;
 }
 
-bool rollout_controller::is_within_share(const rollout_statistics& seen) const
+bool rollout_controller::is_within_bound(
+    const rollout_statistics& statistics) const
 {
-    const auto sent = static_cast<double>(seen.sent());
+    const auto sent = static_cast<double>(statistics.sent());
     const auto allowed = sent * m_bound.share + m_bound.slack;
-    return static_cast<double>(seen.sent_target) <= allowed * bound_part;
+    return static_cast<double>(statistics.sent_target) <=
+           allowed * bound_margin;
 }
 
 } // namespace daleshelf
--- a/libraries/rollouts/rollout_controller.hpp
+++ b/libraries/rollouts/rollout_controller.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How an order is carried out by the holder of the duties.
+/// Executes a rollout order on the duty holder.
 #pragma once
 
 #include "canary_analysis.hpp"
@@ -14,69 +14,78 @@
 namespace daleshelf
 {
 
-/// The users' bound on what a bad version may get.
+/// The limit on the requests that a bad version may receive: a share of the
+/// requests between the order and its deadline, plus a constant.
 struct exposure_bound
 {
-    double share = 0.1; ///< of the requests between the order and its deadline
-    double slack = 50;  ///< requests besides
+    double share = 0.1; ///< of the requests until the deadline, 0 to 1
+    double slack = 50;  ///< additional requests
 };
 
-/// What the holder lets hosts do next.
+/// The next step of a rollout.
 struct rollout_step
 {
-    double share = 0; ///< of requests, that go to the target
-    /// The end of the order; nothing while it runs.
-    std::optional<rollout_phase> end;
-    std::string reason;
+    double share = 0; ///< of requests that go to the target, 0 to 1
+    /// The final phase of the order; nothing while it is running.
+    std::optional<rollout_phase> final_phase;
+    std::string reason; ///< for the event log
 };
 
-/// Carries one order out: a small share of all requests goes to the target for
-/// most of its time, then all of them shortly before its deadline, as late as
-/// the bound asks for: even if the version turned bad in that moment, it would
-/// have got no more than it may. It is taken back at the first proof. What was
-/// seen is told by hosts as sums since the order, so that another holder may go
-/// on. Free of I/O. See docs/design/rollouts.md.
+/// Executes one order as a canary rollout. The target receives a small share of
+/// the requests for most of the order's duration and all requests shortly
+/// before the deadline. That switch is late enough that the exposure bound
+/// holds even if the target turns bad at that moment. The order is rolled back
+/// as soon as the canary analysis finds the target bad. Hosts report cumulative
+/// statistics since the order, so that another duty holder can continue. Free
+/// of I/O. See docs/design/rollouts.md.
 class rollout_controller
 {
 public:
-    /// @param ordered_at when the order was first seen, by any holder
+    /// @param ordered_at when the order was first read by any duty holder
+    /// @param bound the limit on the requests that the target may receive
     rollout_controller(rollout_order order, absl::Time ordered_at,
                        const exposure_bound& bound);
 
-    /// Takes a host's report.
-    void take(const rollout_report& report);
+    /// Stores a host's report, replacing an earlier one of the same
+    /// incarnation; reports on other orders and outdated ones are ignored.
+    void add_report(const rollout_report& report);
 
-    /// @return what hosts may do; to be called a few times a second
-    [[nodiscard]] rollout_step next(absl::Time now);
+    /// @return the step to announce to the hosts; to be called several times a
+    /// second
+    [[nodiscard]] rollout_step next_step(absl::Time now);
 
+    /// @return the order that is executed
     [[nodiscard]] const rollout_order& order() const
     {
         return m_order;
     }
 
-    /// @return all that was seen, by all hosts
-    [[nodiscard]] rollout_statistics seen() const;
+    /// @return the sum of the statistics of all hosts
+    [[nodiscard]] rollout_statistics statistics() const;
 
-    [[nodiscard]] const canary_analysis& judge() const
+    /// @return the analysis as of the last step
+    [[nodiscard]] const canary_analysis& analysis() const
     {
-        return m_judge;
+        return m_analysis;
     }
 
 private:
-    [[nodiscard]] double trial_share(const rollout_statistics& seen,
-                                     absl::Time now) const;
-    [[nodiscard]] double requests_left(const rollout_statistics& seen,
-                                       absl::Time now) const;
-    [[nodiscard]] bool may_move_all(const rollout_statistics& seen,
+    [[nodiscard]] double canary_share(const rollout_statistics& statistics,
+                                      absl::Time now) const;
+    [[nodiscard]] double expected_requests(const rollout_statistics& statistics,
+                                           absl::Time now) const;
+    [[nodiscard]] bool can_move_all(const rollout_statistics& statistics,
                                     absl::Time now) const;
-    [[nodiscard]] bool is_within_share(const rollout_statistics& seen) const;
+    [[nodiscard]] bool
+    is_within_bound(const rollout_statistics& statistics) const;
 
     rollout_order m_order;
     absl::Time m_ordered_at;
     exposure_bound m_bound;
     std::map<std::pair<host_id, incarnation>, rollout_statistics> m_reports;
-    canary_analysis m_judge;
-    absl::Time m_moved_at = absl::InfiniteFuture(); ///< all requests
+    canary_analysis m_analysis;
+    absl::Time m_all_moved_at =
+        absl::InfiniteFuture(); ///< when the share became 1
 };
 
 } // namespace daleshelf
--- a/libraries/rollouts/rollout_message.cpp
+++ b/libraries/rollouts/rollout_message.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-// Formats 1 to 3 are states, messages of quotas, and counts of windows.
-constexpr std::uint32_t word_format = 4;
+// Formats 1 to 3 are host states, quota messages and usage window counts.
+constexpr std::uint32_t directive_format = 4;
 constexpr std::uint32_t report_format = 5;
 
 void write_bins(google::protobuf::RepeatedPtrField<wire::TimeBin>& bins,
@@ -38,33 +38,33 @@
 }
 
 void write_routes(wire::RolloutReport& message,
-                  const statistics_by_route& tallies, bool is_target)
+                  const statistics_by_route& by_route, bool is_target)
 {
-    for (const auto& [route, tally] : tallies)
+    for (const auto& [route, response_counts] : by_route)
     {
         auto& item = *message.add_routes();
         item.set_route(route);
         item.set_is_target(is_target);
-        item.set_answers(static_cast<std::int64_t>(tally.answers));
-        item.set_failures(static_cast<std::int64_t>(tally.failures));
-        write_bins(*item.mutable_first(), tally.first);
-        write_bins(*item.mutable_gaps(), tally.gaps);
+        item.set_answers(static_cast<std::int64_t>(response_counts.responses));
+        item.set_failures(static_cast<std::int64_t>(response_counts.failures));
+        write_bins(*item.mutable_first(), response_counts.first_latency);
+        write_bins(*item.mutable_gaps(), response_counts.gaps);
     }
 }
 
 } // namespace
 
-std::string encode(const rollout_directive& word)
+std::string encode(const rollout_directive& directive)
 {
     wire::RolloutWord message;
-    message.set_format(word_format);
-    message.set_name(word.from.value());
-    message.set_service(word.service.value());
-    message.set_order(word.order.value());
-    message.set_phase(static_cast<std::uint32_t>(word.phase));
-    message.set_share(word.share);
-    message.set_token(word.token);
-    message.set_sequence(word.sequence);
+    message.set_format(directive_format);
+    message.set_name(directive.sender.value());
+    message.set_service(directive.service.value());
+    message.set_order(directive.order.value());
+    message.set_phase(static_cast<std::uint32_t>(directive.phase));
+    message.set_share(directive.share);
+    message.set_token(directive.token);
+    message.set_sequence(directive.sequence);
     return message.SerializeAsString();
 }
 
@@ -72,63 +72,66 @@
 {
     wire::RolloutReport message;
     message.set_format(report_format);
-    message.set_name(report.from.value());
-    message.set_incarnation(report.started.value());
+    message.set_name(report.sender.value());
+    message.set_incarnation(report.sender_incarnation.value());
     message.set_service(report.service.value());
     message.set_order(report.order.value());
-    message.set_sent_old(report.seen.sent_old);
-    message.set_sent_target(report.seen.sent_target);
-    write_routes(message, report.seen.old_version, false);
-    write_routes(message, report.seen.target, true);
+    message.set_sent_old(report.statistics.sent_old);
+    message.set_sent_target(report.statistics.sent_target);
+    write_routes(message, report.statistics.old_version, false);
+    write_routes(message, report.statistics.target, true);
     return message.SerializeAsString();
 }
 
 std::optional<rollout_directive>
 decode_rollout_directive(std::string_view bytes)
 {
-    wire::RolloutWord read;
-    const bool is_read =
-        read.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
-    if (!is_read || read.format() != word_format || read.name().empty() ||
-        read.phase() > static_cast<std::uint32_t>(rollout_phase::rolled_back) ||
-        !std::isfinite(read.share()) || read.share() < 0 || read.share() > 1)
+    wire::RolloutWord parsed;
+    const bool is_parsed =
+        parsed.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
+    if (!is_parsed || parsed.format() != directive_format ||
+        parsed.name().empty() ||
+        parsed.phase() >
+            static_cast<std::uint32_t>(rollout_phase::rolled_back) ||
+        !std::isfinite(parsed.share()) || parsed.share() < 0 ||
+        parsed.share() > 1)
     {
         return std::nullopt;
     }
-    return rollout_directive{host_id(read.name()),
-                             service_name(read.service()),
-                             log_offset(read.order()),
-                             static_cast<rollout_phase>(read.phase()),
-                             read.share(),
-                             read.token(),
-                             read.sequence()};
+    return rollout_directive{host_id(parsed.name()),
+                             service_name(parsed.service()),
+                             log_offset(parsed.order()),
+                             static_cast<rollout_phase>(parsed.phase()),
+                             parsed.share(),
+                             parsed.token(),
+                             parsed.sequence()};
 }
 
 std::optional<rollout_report> decode_rollout_report(std::string_view bytes)
 {
-    wire::RolloutReport read;
-    const bool is_read =
-        read.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
-    if (!is_read || read.format() != report_format || read.name().empty())
+    wire::RolloutReport parsed;
+    const bool is_parsed =
+        parsed.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
+    if (!is_parsed || parsed.format() != report_format || parsed.name().empty())
     {
         return std::nullopt;
     }
     rollout_report report;
-    report.from = host_id(read.name());
-    report.started = incarnation(read.incarnation());
-    report.service = service_name(read.service());
-    report.order = log_offset(read.order());
-    report.seen.sent_old = read.sent_old();
-    report.seen.sent_target = read.sent_target();
-    for (const auto& item : read.routes())
+    report.sender = host_id(parsed.name());
+    report.sender_incarnation = incarnation(parsed.incarnation());
+    report.service = service_name(parsed.service());
+    report.order = log_offset(parsed.order());
+    report.statistics.sent_old = parsed.sent_old();
+    report.statistics.sent_target = parsed.sent_target();
+    for (const auto& item : parsed.routes())
     {
-        auto& tallies =
-            item.is_target() ? report.seen.target : report.seen.old_version;
-        auto& tally = tallies[item.route()];
-        tally.answers = static_cast<double>(item.answers());
-        tally.failures = static_cast<double>(item.failures());
-        tally.first = read_bins(item.first());
-        tally.gaps = read_bins(item.gaps());
+        auto& by_route = item.is_target() ? report.statistics.target
+                                          : report.statistics.old_version;
+        auto& response_counts = by_route[item.route()];
+        response_counts.responses = static_cast<double>(item.answers());
+        response_counts.failures = static_cast<double>(item.failures());
+        response_counts.first_latency = read_bins(item.first());
+        response_counts.gaps = read_bins(item.gaps());
     }
     return report;
 }
--- a/libraries/rollouts/rollout_message.hpp
+++ b/libraries/rollouts/rollout_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What hosts tell each other of roll-outs.
+/// The messages that hosts exchange during a rollout.
 #pragma once
 
 #include "response_statistics.hpp"
@@ -12,33 +12,35 @@
 namespace daleshelf
 {
 
-/// What the holder of the duties lets every host do, and asks for its report.
+/// Sent by the duty holder to every host: the state of an order and the share
+/// of requests that may go to the target. Hosts reply with a report.
 struct rollout_directive
 {
-    host_id from;
+    host_id sender;
     service_name service;
-    log_offset order; ///< offset of the operator's record
+    log_offset order; ///< offset of the order's log record
     rollout_phase phase = rollout_phase::running;
-    double share = 0; ///< of requests, that go to the target
-    std::int64_t token = -1;
-    std::int64_t sequence = 0; ///< rises within one token
+    double share = 0;          ///< of requests that go to the target, 0 to 1
+    std::int64_t token = -1;   ///< fencing token of the sender
+    std::int64_t sequence = 0; ///< increases within one token
 };
 
-/// What one start of one host has sent and seen since it knew the order.
+/// The statistics of one incarnation of a host since it learned of the order.
 struct rollout_report
 {
-    host_id from;
-    incarnation started;
+    host_id sender;
+    incarnation sender_incarnation;
     service_name service;
     log_offset order;
-    rollout_statistics seen;
+    rollout_statistics statistics;
 };
 
-/// @return the bytes of a datagram
-[[nodiscard]] std::string encode(const rollout_directive& word);
+/// @return the encoded datagram
+[[nodiscard]] std::string encode(const rollout_directive& directive);
 [[nodiscard]] std::string encode(const rollout_report& report);
 
-/// @return the message, or nothing if the bytes are no such datagram
+/// @return the message; nothing if the bytes are not a valid datagram of its
+/// format
 [[nodiscard]] std::optional<rollout_directive>
 decode_rollout_directive(std::string_view bytes);
 [[nodiscard]] std::optional<rollout_report>
--- a/libraries/rollouts/rollout_order.hpp
+++ b/libraries/rollouts/rollout_order.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An operator's order to move a service to another version.
+/// An operator's order to roll a service out to another version.
 #pragma once
 
 #include <absl/time/time.h>
@@ -9,35 +9,35 @@
 namespace daleshelf
 {
 
-/// Asks for a service's requests to be moved to servers of another version,
-/// which are started beside those that serve.
+/// Moves the requests of a service to upstreams of the target version, which
+/// are started alongside those of the old version.
 struct rollout_order
 {
     service_name service;
     version_name target;
-    absl::Duration duration; ///< in which it is to be done
-    log_offset offset;       ///< of the record; a later order has a higher one
+    absl::Duration duration; ///< from the order to its deadline
+    log_offset offset; ///< of the log record; later orders have higher ones
 
     friend bool operator==(const rollout_order&,
                            const rollout_order&) = default;
 };
 
-/// How far an order has come.
+/// The state of an order.
 enum class rollout_phase
 {
     running,
-    completed,   ///< all requests go to the target; old servers may stop
-    rolled_back, ///< the target gets nothing any more
+    completed,   ///< all requests go to the target; old upstreams may stop
+    rolled_back, ///< the target receives no more requests
 };
 
-/// What is kept of an order in the log.
+/// The state of an order as stored in the log.
 struct rollout_status
 {
     service_name service;
     version_name target;
     rollout_phase phase = rollout_phase::running;
-    log_offset order{-1};  ///< offset of the order; -1: not stated
-    absl::Time ordered_at; ///< time of day at which it was first read
+    log_offset order{-1};  ///< offset of the order; -1: unknown
+    absl::Time ordered_at; ///< wall-clock time at which it was first read
 };
 
 } // namespace daleshelf
--- a/libraries/rollouts/rollout_participant.cpp
+++ b/libraries/rollouts/rollout_participant.cpp
@@ -10,19 +10,21 @@
 namespace
 {
 
-// How long a word holds: four of them, one a quarter second, may be lost.
-constexpr absl::Duration word_time = absl::Milliseconds(1200);
-
-// Hosts begin at different parts of a request, so that those which send three
-// requests a second do not all wait for their twentieth one, and together they
-// send the share at the mean.
-double first_credit(const host_id& host, log_offset order)
+// How long a directive is valid: four in a row, sent every quarter second, may
+// be lost.
+constexpr absl::Duration directive_time = absl::Milliseconds(1200);
+
+// Hosts start with different fractions of a request as credit, derived from
+// their names. Otherwise hosts with three requests a second would all wait
+// until their twentieth request before they send one to the target. Together
+// the hosts send the share on average.
+double initial_credit(const host_id& host, log_offset order)
 {
     const auto hash =
         XXH3_64bits_withSeed(host.value().data(), host.value().size(),
                              static_cast<std::uint64_t>(order.value()));
-    constexpr double whole = 18446744073709551616.0;
-    return static_cast<double>(hash) / whole;
+    constexpr double hash_range = 18446744073709551616.0;
+    return static_cast<double>(hash) / hash_range;
 }
 
 } // namespace
@@ -33,132 +35,139 @@
 {
 }
 
-bool rollout_participant::hear(const rollout_directive& word, absl::Time now)
+bool rollout_participant::apply(const rollout_directive& directive,
+                                absl::Time now)
 {
-    const auto* order = m_gate.order_of(word.service);
-    if (order == nullptr || order->offset != word.order)
+    const auto* order = m_gate.order_of(directive.service);
+    if (order == nullptr || order->offset != directive.order)
     {
         // Another order, or one that this host has not read yet.
         return false;
     }
-    if (word.phase != rollout_phase::running)
+    if (directive.phase != rollout_phase::running)
     {
-        return m_gate.set_phase(word.service, word.order, word.phase, now);
+        return m_gate.set_phase(directive.service, directive.order,
+                                directive.phase, now);
     }
-    auto* known = running(word.service);
-    if (known == nullptr || std::pair(word.token, word.sequence) <=
-                                std::pair(known->token, known->sequence))
+    auto* state = running_state(directive.service);
+    if (state == nullptr || std::pair(directive.token, directive.sequence) <=
+                                std::pair(state->token, state->sequence))
     {
         return false;
     }
-    known->token = word.token;
-    known->sequence = word.sequence;
-    known->share = word.share;
-    known->heard_at = now;
+    state->token = directive.token;
+    state->sequence = directive.sequence;
+    state->share = directive.share;
+    state->last_directive_at = now;
     return true;
 }
 
 std::optional<canary_target>
 rollout_participant::pick_target(const service_name& service, absl::Time now)
 {
-    auto* known = running(service);
-    const auto share = share_of(service, now);
-    if (known == nullptr || share <= 0)
+    auto* state = running_state(service);
+    const auto share = target_share(service, now);
+    if (state == nullptr || share <= 0)
     {
         return std::nullopt;
     }
-    known->credit = std::min(known->credit + share, 1 + share);
-    if (known->credit < 1)
+    state->credit = std::min(state->credit + share, 1 + share);
+    if (state->credit < 1)
     {
         return std::nullopt;
     }
-    known->credit -= 1;
+    state->credit -= 1;
     return canary_target{m_gate.order_of(service)->target, share};
 }
 
-double rollout_participant::share_of(const service_name& service,
-                                     absl::Time now) const
+double rollout_participant::target_share(const service_name& service,
+                                         absl::Time now) const
 {
-    const auto known = m_orders.find(service);
-    const bool is_running = known != m_orders.end() && is_watching(service);
-    return is_running && now - known->second.heard_at <= word_time
-               ? known->second.share
+    const auto state = m_orders.find(service);
+    const bool is_running =
+        state != m_orders.end() && has_running_order(service);
+    return is_running && now - state->second.last_directive_at <= directive_time
+               ? state->second.share
                : 0;
 }
 
 void rollout_participant::record_sent(const service_name& service,
                                       const version_name& version)
 {
-    auto* known = running(service);
-    if (known == nullptr)
+    auto* state = running_state(service);
+    if (state == nullptr)
     {
         return;
     }
     const bool is_target = m_gate.order_of(service)->target == version;
-    ++(is_target ? known->seen.sent_target : known->seen.sent_old);
+    ++(is_target ? state->statistics.sent_target : state->statistics.sent_old);
 }
 
-void rollout_participant::note_answer(const service_name& service,
-                                      const version_name& version,
-                                      const std::string& route,
-                                      const response_sample& seen)
+void rollout_participant::record_response(const service_name& service,
+                                          const version_name& version,
+                                          const std::string& route,
+                                          const response_sample& sample)
 {
-    auto* known = running(service);
-    if (known == nullptr)
+    auto* state = running_state(service);
+    if (state == nullptr)
     {
         return;
     }
     const bool is_target = m_gate.order_of(service)->target == version;
-    auto& tallies = is_target ? known->seen.target : known->seen.old_version;
-    tallies[route].add(seen);
-    known->has_news = known->has_news || is_target;
+    auto& by_route =
+        is_target ? state->statistics.target : state->statistics.old_version;
+    by_route[route].add(sample);
+    state->has_unreported_responses =
+        state->has_unreported_responses || is_target;
 }
 
 std::optional<rollout_report>
 rollout_participant::report(const service_name& service)
 {
-    auto* known = running(service);
-    if (known == nullptr)
+    auto* state = running_state(service);
+    if (state == nullptr)
     {
         return std::nullopt;
     }
-    known->has_news = false;
-    return rollout_report{m_self, m_started, service, known->order,
-                          known->seen};
+    state->has_unreported_responses = false;
+    return rollout_report{m_self, m_started, service, state->order,
+                          state->statistics};
 }
 
-bool rollout_participant::has_news(const service_name& service) const
+bool rollout_participant::has_unreported_responses(
+    const service_name& service) const
 {
-    const auto known = m_orders.find(service);
-    return known != m_orders.end() && known->second.has_news;
+    const auto state = m_orders.find(service);
+    return state != m_orders.end() && state->second.has_unreported_responses;
 }
 
-absl::Time rollout_participant::heard_at(const service_name& service) const
+absl::Time
+rollout_participant::last_directive_at(const service_name& service) const
 {
-    const auto known = m_orders.find(service);
-    return known == m_orders.end() ? absl::InfinitePast()
-                                   : known->second.heard_at;
+    const auto state = m_orders.find(service);
+    return state == m_orders.end() ? absl::InfinitePast()
+                                   : state->second.last_directive_at;
 }
 
-// @return what is kept for the service's order, if one runs; a later order
-// begins anew
-rollout_participant::watched_order*
-rollout_participant::running(const service_name& service)
+// @return the state of the service's order, if one is running; a later order
+// starts with an empty one
+rollout_participant::order_state*
+rollout_participant::running_state(const service_name& service)
 {
-    if (!is_watching(service))
+    if (!has_running_order(service))
     {
         return nullptr;
     }
     const auto* order = m_gate.order_of(service);
     const auto [at, is_new] = m_orders.try_emplace(service);
-    auto& known = at->second;
-    if (is_new || known.order != order->offset)
+    auto& state = at->second;
+    if (is_new || state.order != order->offset)
     {
-        known = {};
-        known.order = order->offset;
-        known.credit = first_credit(m_self, order->offset);
+        state = {};
+        state.order = order->offset;
+        state.credit = initial_credit(m_self, order->offset);
     }
-    return &known;
+    return &state;
 }
 
 } // namespace daleshelf
--- a/libraries/rollouts/time_histogram.cpp
+++ b/libraries/rollouts/time_histogram.cpp
@@ -9,17 +9,17 @@
 namespace
 {
 
-constexpr double bins_an_octave = 2;
-// 65 seconds in milliseconds.
-constexpr int longest_bin = 32;
+constexpr double bins_per_octave = 2;
+// The bin of 65 seconds, counted in milliseconds; it takes longer times too.
+constexpr int last_bin = 32;
 
 } // namespace
 
 void time_histogram::add(double value)
 {
     const auto octaves = std::log2(std::max(1.0, value));
-    const auto bin = static_cast<int>(octaves * bins_an_octave);
-    m_counts[std::min(bin, longest_bin)] += 1;
+    const auto bin = static_cast<int>(octaves * bins_per_octave);
+    m_counts[std::min(bin, last_bin)] += 1;
 }
 
 void time_histogram::scale(double factor)
@@ -41,18 +41,18 @@
 
 time_histogram time_histogram::since(const time_histogram& earlier) const
 {
-    time_histogram news;
+    time_histogram added;
     for (const auto& [bin, count] : m_counts)
     {
-        const auto before = earlier.m_counts.find(bin);
-        const auto more =
-            count - (before == earlier.m_counts.end() ? 0 : before->second);
-        if (more > 0)
+        const auto previous = earlier.m_counts.find(bin);
+        const auto difference =
+            count - (previous == earlier.m_counts.end() ? 0 : previous->second);
+        if (difference > 0)
         {
-            news.m_counts[bin] = more;
+            added.m_counts[bin] = difference;
         }
     }
-    return news;
+    return added;
 }
 
 double time_histogram::total() const
@@ -75,9 +75,9 @@
     return sum;
 }
 
-int time_histogram::quantile(double part) const
+int time_histogram::quantile(double fraction) const
 {
-    const auto allowed = total() * (1 - part);
+    const auto allowed = total() * (1 - fraction);
     for (const auto& [bin, count] : m_counts)
     {
         if (above(bin) <= allowed)
--- a/libraries/rollouts/time_histogram.hpp
+++ b/libraries/rollouts/time_histogram.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many times of each length were seen.
+/// A histogram of durations.
 #pragma once
 
 #include <cstdint>
@@ -8,39 +8,46 @@
 namespace daleshelf
 {
 
-/// Counts lengths in half octaves, so that distributions of two versions can be
-/// compared, and those of many hosts added.
+/// Counts durations in logarithmic bins, two per doubling, so that the
+/// distributions of two versions can be compared and those of several hosts
+/// added.
 class time_histogram
 {
 public:
     using counts = std::map<int, double>;
 
-    /// @param value a length; any unit that is the same for all
+    /// Counts one value.
+    /// @param value a duration, in a unit that is the same for all values;
+    /// values below 1 are counted as 1
     void add(double value);
 
-    /// Adds a number of lengths of one bin.
+    /// Adds `count` values to one bin.
     void add_bin(int bin, double count)
     {
         m_counts[bin] += count;
     }
 
-    /// Lets what was counted fade.
+    /// Multiplies all counts by a factor, for exponential decay.
     void scale(double factor);
 
     time_histogram& operator+=(const time_histogram& other);
 
-    /// @return what this one has more than an earlier state of it
+    /// @param earlier a previous state of this histogram
+    /// @return the counts added since then
     [[nodiscard]] time_histogram since(const time_histogram& earlier) const;
 
+    /// @return the sum of all counts
     [[nodiscard]] double total() const;
 
-    /// @return how many lie in bins above `bin`
+    /// @return the count in bins above `bin`
     [[nodiscard]] double above(int bin) const;
 
-    /// @param part 0 to 1
-    /// @return the lowest bin with no more than 1 - part of all above it
-    [[nodiscard]] int quantile(double part) const;
+    /// @param fraction 0 to 1
+    /// @return the lowest bin with at most 1 - `fraction` of all values above
+    /// it
+    [[nodiscard]] int quantile(double fraction) const;
 
+    /// @return the count of each bin that is not empty
     [[nodiscard]] const counts& bins() const
     {
         return m_counts;
--- a/libraries/rollouts/version_gate.cpp
+++ b/libraries/rollouts/version_gate.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-// Servers that stop without a word are listed for three heartbeats, 3.6 s where
-// these come each 1.2 s; one that is listed anew later than this has been
+// Upstreams that stop without notice remain listed for three heartbeats: 3.6 s
+// at an interval of 1.2 s. One that is still listed after this time has been
 // started since.
-constexpr absl::Duration linger_time = absl::Seconds(10);
+constexpr absl::Duration stale_listing_time = absl::Seconds(10);
 
 } // namespace
 
@@ -19,33 +19,35 @@
                                  const version_name& version,
                                  bool is_first_list, absl::Time now)
 {
-    auto& seen = m_versions[service];
-    const bool is_only_one = seen.empty();
-    const auto [at, is_new] = seen.try_emplace(version);
+    auto& listed = m_versions[service];
+    const bool is_only_version = listed.empty();
+    const auto [at, is_new] = listed.try_emplace(version);
     if (!is_new)
     {
         auto& replaced_at = at->second.replaced_at;
-        if (now - replaced_at > linger_time)
+        if (now - replaced_at > stale_listing_time)
         {
             replaced_at = absl::InfiniteFuture();
         }
         return;
     }
-    at->second = {now, is_first_list || is_only_one || now < m_known_at};
+    at->second = {now,
+                  is_first_list || is_only_version || now < m_orders_known_at};
 }
 
 void version_gate::set_orders_known_at(absl::Time as_of)
 {
-    if (as_of <= m_known_at)
+    if (as_of <= m_orders_known_at)
     {
         return;
     }
-    m_known_at = as_of;
-    for (auto& [service, seen] : m_versions)
+    m_orders_known_at = as_of;
+    for (auto& [service, listed] : m_versions)
     {
-        for (auto& [version, known] : seen)
+        for (auto& [version, known] : listed)
         {
-            known.is_settled = known.is_settled || known.first_at < as_of;
+            known.is_admitted =
+                known.is_admitted || known.first_listed_at < as_of;
         }
     }
 }
@@ -84,11 +86,11 @@
     {
         return true;
     }
-    for (auto& [version, seen] : m_versions[service])
+    for (auto& [version, listed] : m_versions[service])
     {
         if (version != at->second.order.target)
         {
-            seen.replaced_at = now;
+            listed.replaced_at = now;
         }
     }
     return true;
@@ -97,25 +99,26 @@
 bool version_gate::allows(const service_name& service,
                           const version_name& version) const
 {
-    // 1. Where there has only been one version there is nothing to move from.
-    const auto seen = m_versions.find(service);
-    if (seen == m_versions.end() || seen->second.size() <= 1)
+    // 1. The only version that a service has had is always allowed.
+    const auto listed = m_versions.find(service);
+    if (listed == m_versions.end() || listed->second.size() <= 1)
     {
         return true;
     }
-    // 2. The target of an order, by how far that has come.
+    // 2. The target of an order is allowed once the order is completed.
     const auto order = m_orders.find(service);
     if (order != m_orders.end() && order->second.order.target == version)
     {
         return order->second.phase == rollout_phase::completed;
     }
-    // 3. Any other, once no order can be behind it that is not known here.
-    const auto known = seen->second.find(version);
-    if (known == seen->second.end())
+    // 3. Any other version is allowed once no unread order can have started it,
+    // and while it is not replaced.
+    const auto known = listed->second.find(version);
+    if (known == listed->second.end())
     {
         return true;
     }
-    return known->second.is_settled &&
+    return known->second.is_admitted &&
            known->second.replaced_at == absl::InfiniteFuture();
 }
 
--- a/libraries/rollouts/version_gate.hpp
+++ b/libraries/rollouts/version_gate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which versions of a service may get requests.
+/// Decides which versions of a service may receive requests.
 #pragma once
 
 #include "rollout_order.hpp"
@@ -14,41 +14,42 @@
 namespace daleshelf
 {
 
-/// Keeps requests from versions that nobody has judged yet. While an order
-/// stands, its target gets none by the common choice of a server; the same
-/// holds for a version that is seen for the first time, until the orders are
-/// known as they were after that: its servers may be listed before the order
-/// that started them is heard. See docs/design/rollouts.md.
+/// Excludes versions that have not passed a canary analysis from the regular
+/// choice of an upstream. This applies to the target of an order that is not
+/// completed, and to a newly listed version until the orders are known as of a
+/// later time: its upstreams may be listed before this host reads the order
+/// that started them. See docs/design/rollouts.md.
 class version_gate
 {
 public:
-    /// A server of the version is listed.
-    /// @param is_first_list whether it was there when this host began to serve:
-    /// nothing can be told then of what is new
+    /// Records that an upstream of the version is listed.
+    /// @param is_first_list whether it is in the first list that this host
+    /// reads, which does not show which versions are new
     void record_server(const service_name& service, const version_name& version,
                        bool is_first_list, absl::Time now);
 
-    /// The operator's orders are known as they stood at a time.
+    /// Sets the time as of which the operator's orders are known; an earlier
+    /// time than the last is ignored.
     void set_orders_known_at(absl::Time as_of);
 
-    /// Takes an order; one that is older than what is known is left.
-    /// @return whether it is news
+    /// Stores an order; one that is not newer than the known one is ignored.
+    /// @return whether it was stored
     bool set_order(const rollout_order& order);
 
-    /// An order has been taken back by its operator: what it started is
-    /// treated as any version.
+    /// Removes an order that its operator has withdrawn; its target is treated
+    /// like any other version from then on.
     /// @return whether there was one
     bool remove_order(const service_name& service);
 
-    /// Sets how far a service's order has come. A final phase stays. Once the
-    /// order is completed, the servers of all other versions have stopped,
-    /// though they are still listed for a while.
-    /// @param order the offset of the order that is meant
-    /// @return whether that is news
+    /// Sets the phase of a service's order; a final phase does not change. Once
+    /// the order is completed, the upstreams of all other versions have
+    /// stopped, although they remain listed for a while.
+    /// @param order the offset of the order; others are ignored
+    /// @return whether the phase has changed
     bool set_phase(const service_name& service, log_offset order,
                    rollout_phase phase, absl::Time now);
 
-    /// @return whether servers of the version may get requests
+    /// @return whether upstreams of the version may receive requests
     [[nodiscard]] bool allows(const service_name& service,
                               const version_name& version) const;
 
@@ -59,31 +60,31 @@
     /// @return the services that have an order
     [[nodiscard]] std::vector<service_name> services_with_orders() const;
 
-    /// @return how far the service's order has come; nothing without an order
+    /// @return the phase of the service's order; nothing without an order
     [[nodiscard]] std::optional<rollout_phase>
     phase_of(const service_name& service) const;
 
 private:
-    struct known_order
+    struct order_state
     {
         rollout_order order;
         rollout_phase phase = rollout_phase::running;
     };
 
-    /// When a version was first listed; those that are settled are not kept
-    /// from requests without an order.
-    struct seen_version
+    /// When a version was first listed and replaced. An admitted version
+    /// receives requests unless an order or a replacement excludes it.
+    struct version_state
     {
-        absl::Time first_at;
-        bool is_settled = false;
+        absl::Time first_listed_at;
+        bool is_admitted = false;
         absl::Time replaced_at = absl::InfiniteFuture();
     };
 
-    using versions = absl::flat_hash_map<version_name, seen_version>;
+    using versions = absl::flat_hash_map<version_name, version_state>;
 
-    std::map<service_name, known_order> m_orders;
+    std::map<service_name, order_state> m_orders;
     absl::flat_hash_map<service_name, versions> m_versions;
-    absl::Time m_known_at = absl::InfinitePast();
+    absl::Time m_orders_known_at = absl::InfinitePast();
 };
 
 } // namespace daleshelf
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -321,9 +321,9 @@
     for (const auto& service :
          m_state.servers.versions().services_with_orders())
     {
-        rollouts_running += m_state.rollouts.is_watching(service) ? 1 : 0;
-        rollout_share =
-            std::max(rollout_share, m_state.rollouts.share_of(service, now));
+        rollouts_running += m_state.rollouts.has_running_order(service) ? 1 : 0;
+        rollout_share = std::max(rollout_share,
+                                 m_state.rollouts.target_share(service, now));
     }
     meter.set("rollouts_running", "Orders to roll out that have not ended.",
               rollouts_running);
--- a/services/gateway/request_engines.cpp
+++ b/services/gateway/request_engines.cpp
@@ -35,7 +35,7 @@
     constexpr double percent = 100;
     if (m_service->is_engine && head.status < http_status::bad_request)
     {
-        m_seen.first =
+        m_seen.first_latency =
             to_ms(time) / std::max(1.0, m_expected_first_ms) * percent;
     }
 }
@@ -54,10 +54,10 @@
     m_seen.is_failure = m_seen.is_failure || end != attempt_end::answered;
     if (!m_service->is_engine)
     {
-        m_seen.first = to_ms(time);
+        m_seen.first_latency = to_ms(time);
     }
-    m_state.rollouts.note_answer(server.service, server.version, m_route->name,
-                                 m_seen);
+    m_state.rollouts.record_response(server.service, server.version,
+                                     m_route->name, m_seen);
 }
 
 // What the request asks of the service's engines, for whoever orders servers.
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -211,7 +211,8 @@
     server_exchange exchange(m_state.pool, request_to(target));
     m_exchange = &exchange;
     m_expected_first_ms =
-        m_service->is_engine && m_state.rollouts.is_watching(m_service->name)
+        m_service->is_engine &&
+                m_state.rollouts.has_running_order(m_service->name)
             ? m_state.choice.expected_first_ms(server, wanted)
             : 0;
     m_work = m_state.choice.begin_attempt(server.incarnation(), wanted,
--- a/services/gateway/rollout_service.cpp
+++ b/services/gateway/rollout_service.cpp
@@ -85,7 +85,7 @@
 awaitable<void> rollout_service::tend(const service_name& service)
 {
     const auto& versions = m_state.servers.versions();
-    if (!m_state.rollouts.is_watching(service))
+    if (!m_state.rollouts.has_running_order(service))
     {
         m_led.erase(service);
         co_return;
@@ -123,14 +123,14 @@
     }
     if (const auto own = m_state.rollouts.report(order.service))
     {
-        led->second.plan.take(*own);
+        led->second.plan.add_report(*own);
     }
-    const auto step = led->second.plan.next(gateway_state::now());
+    const auto step = led->second.plan.next_step(gateway_state::now());
     log_step(led->second, step);
     tell(order, rollout_phase::running, step.share, token);
-    if (step.end)
+    if (step.final_phase)
     {
-        co_await finish(order, *step.end);
+        co_await finish(order, *step.final_phase);
     }
 }
 
@@ -141,7 +141,7 @@
 {
     m_led.erase(order.service);
     const bool is_read = co_await read_statuses();
-    if (!is_read || !m_state.rollouts.is_watching(order.service))
+    if (!is_read || !m_state.rollouts.has_running_order(order.service))
     {
         co_return false;
     }
@@ -173,8 +173,8 @@
 {
     const auto now = gateway_state::now();
     const auto [known, is_new] = m_known_since.try_emplace(order.offset, now);
-    const auto heard_at =
-        std::max(known->second, m_state.rollouts.heard_at(order.service));
+    const auto heard_at = std::max(
+        known->second, m_state.rollouts.last_directive_at(order.service));
     // An order that is found at the start may have ended long ago.
     const bool is_old = is_new && now - m_started_at < start_time;
     const bool is_told = now - heard_at < silence_time;
@@ -319,12 +319,13 @@
 std::string rollout_service::take_word(std::string_view bytes)
 {
     const auto word = decode_rollout_directive(bytes);
-    if (!word || !m_state.rollouts.hear(*word, gateway_state::now()))
+    if (!word || !m_state.rollouts.apply(*word, gateway_state::now()))
     {
         return "";
     }
-    const bool is_due = word->sequence % words_a_report == 0 ||
-                        m_state.rollouts.has_news(word->service);
+    const bool is_due =
+        word->sequence % words_a_report == 0 ||
+        m_state.rollouts.has_unreported_responses(word->service);
     if (word->phase != rollout_phase::running || !is_due)
     {
         return "";
@@ -343,7 +344,7 @@
     const auto led = m_led.find(report->service);
     if (led != m_led.end())
     {
-        led->second.plan.take(*report);
+        led->second.plan.add_report(*report);
     }
 }
 
@@ -353,7 +354,7 @@
     const rollout_directive word{m_state.self, order.service, order.offset,
                                  phase,        share,         token,
                                  ++m_sequence};
-    m_state.rollouts.hear(word, gateway_state::now());
+    m_state.rollouts.apply(word, gateway_state::now());
     m_peers.tell_all(encode(word));
 }
 
@@ -375,26 +376,28 @@
 // One line a step; the share goes with what was seen, a little each time.
 void rollout_service::log_step(led_order& led, const rollout_step& step)
 {
-    const bool is_told = step.reason == led.reason && !step.end;
+    const bool is_told = step.reason == led.reason && !step.final_phase;
     if (is_told)
     {
         return;
     }
     led.reason = step.reason;
-    const auto seen = led.plan.seen();
-    const auto found = led.plan.judge().verdict();
+    const auto seen = led.plan.statistics();
+    const auto found = led.plan.analysis().verdict();
     log(events::rollout_step,
         {{"service", led.plan.order().service.value()},
          {"target", led.plan.order().target.value()},
          {"order", std::to_string(led.plan.order().offset.value())},
          {"share", std::to_string(step.share)},
-         {"end", step.end ? std::string(phase_name(*step.end)) : ""},
+         {"end",
+          step.final_phase ? std::string(phase_name(*step.final_phase)) : ""},
          {"reason", step.reason},
          {"sent_old", std::to_string(seen.sent_old)},
          {"sent_target", std::to_string(seen.sent_target)},
-         {"answers", std::to_string(static_cast<std::int64_t>(found.answers))},
-         {"against", std::to_string(found.strongest)},
-         {"proof", found.proof},
+         {"answers",
+          std::to_string(static_cast<std::int64_t>(found.responses))},
+         {"against", std::to_string(found.highest_score)},
+         {"proof", found.evidence},
          {"token", std::to_string(led.token)}});
 }
 
--- a/tests/rollouts/canary_analysis_test.cpp
+++ b/tests/rollouts/canary_analysis_test.cpp
@@ -8,42 +8,42 @@
 namespace
 {
 
-// One update a quarter second; 160 requests a second, of which one in twenty
-// goes to the target, as on the users' site of 70 hosts.
+// An update every quarter second and 160 requests a second, of which one in
+// twenty goes to the target, as in an installation of 70 hosts.
 constexpr double target_share = 0.05;
-constexpr int requests_an_update = 40;
+constexpr int requests_per_update = 40;
 constexpr int updates = 52;
 
-/// How a version answers.
+/// How a version responds.
 struct behaviour
 {
-    double failures = 0.005;
-    double slow = 0;     ///< part of the answers that take four times as long
-    int from_update = 0; ///< the rest holds from then on
-    std::string route;   ///< on which alone; empty: on all
+    double failure_rate = 0.005;
+    double slow_rate = 0; ///< part that takes four times as long
+    int from_update = 0;  ///< the rates above apply from then on
+    std::string route;    ///< the only affected route; empty: all
 };
 
-class trial
+class simulation
 {
 public:
-    trial(behaviour old_version, behaviour target, std::uint32_t seed)
+    simulation(behaviour old_version, behaviour target, std::uint32_t seed)
         : m_old(std::move(old_version))
         , m_target(std::move(target))
         , m_random(seed)
     {
     }
 
-    /// @return the update at which the target was proved bad; -1: never
-    int play()
+    /// @return the update at which the target was found bad; -1: never
+    int run()
     {
         for (int update = 0; update < updates; ++update)
         {
-            for (int number = 0; number < requests_an_update; ++number)
+            for (int number = 0; number < requests_per_update; ++number)
             {
                 request(update);
             }
-            judge.update(m_seen);
-            if (judge.verdict().is_bad)
+            analysis.update(m_statistics);
+            if (analysis.verdict().is_bad)
             {
                 return update;
             }
@@ -51,11 +51,11 @@
         return -1;
     }
 
-    canary_analysis judge;
+    canary_analysis analysis;
 
-    [[nodiscard]] double bad_answers() const
+    [[nodiscard]] double bad_responses() const
     {
-        return m_bad;
+        return m_bad_responses;
     }
 
 private:
@@ -72,80 +72,84 @@
         const auto& how = is_target ? m_target : m_old;
         const bool is_bad = update >= how.from_update &&
                             (how.route.empty() || how.route == route);
-        response_sample seen;
-        seen.is_failure = random() < (is_bad ? how.failures : 0.005);
-        const bool is_slow = is_bad && random() < how.slow;
+        response_sample sample;
+        sample.is_failure = random() < (is_bad ? how.failure_rate : 0.005);
+        const bool is_slow = is_bad && random() < how.slow_rate;
         std::lognormal_distribution<double> time(4.5, 0.5);
-        seen.first = time(m_random) * (is_slow ? 4 : 1);
-        seen.gap_ms = 20 + random() * 10;
-        if (is_target && (seen.is_failure || is_slow))
+        sample.first_latency = time(m_random) * (is_slow ? 4 : 1);
+        sample.gap_ms = 20 + random() * 10;
+        if (is_target && (sample.is_failure || is_slow))
         {
-            m_bad += 1;
+            m_bad_responses += 1;
         }
-        auto& tallies = is_target ? m_seen.target : m_seen.old_version;
-        ++(is_target ? m_seen.sent_target : m_seen.sent_old);
-        tallies[route].add(seen);
+        auto& by_route =
+            is_target ? m_statistics.target : m_statistics.old_version;
+        ++(is_target ? m_statistics.sent_target : m_statistics.sent_old);
+        by_route[route].add(sample);
     }
 
     behaviour m_old;
     behaviour m_target;
     std::mt19937 m_random;
-    rollout_statistics m_seen;
-    double m_bad = 0;
+    rollout_statistics m_statistics;
+    double m_bad_responses = 0;
 };
 
 constexpr std::uint32_t seeds = 400;
 
-TEST(canary_analysis, a_good_version_is_hardly_ever_condemned)
+TEST(canary_analysis, a_good_version_is_rarely_found_bad)
 {
-    int condemned = 0;
+    int detected = 0;
     for (std::uint32_t seed = 1; seed <= seeds; ++seed)
     {
-        condemned += trial({}, {}, seed).play() >= 0 ? 1 : 0;
+        detected += simulation({}, {}, seed).run() >= 0 ? 1 : 0;
     }
-    EXPECT_LE(condemned, 2); // one in 200
+    EXPECT_LE(detected, 2); // one in 200
 }
 
-// All servers fail four in ten of their requests for a while.
-TEST(canary_analysis, trouble_of_both_versions_condemns_neither)
+// From update 20 on, four in ten responses of both versions fail, and three in
+// ten are slow.
+TEST(canary_analysis, faults_of_both_versions_are_not_attributed_to_the_target)
 {
-    const behaviour grey{0.4, 0.3, 20, ""};
-    int condemned = 0;
+    const behaviour degraded{0.4, 0.3, 20, ""};
+    int detected = 0;
     for (std::uint32_t seed = 1; seed <= seeds; ++seed)
     {
-        condemned += trial(grey, grey, seed).play() >= 0 ? 1 : 0;
+        detected += simulation(degraded, degraded, seed).run() >= 0 ? 1 : 0;
     }
-    EXPECT_LE(condemned, 8); // one in fifty
+    EXPECT_LE(detected, 8); // one in fifty
 }
 
-TEST(canary_analysis, a_bad_version_is_found_before_fifty_bad_answers)
+TEST(canary_analysis, a_bad_version_is_detected_before_fifty_bad_responses)
 {
-    const std::vector<behaviour> kinds{
+    const std::vector<behaviour> behaviours{
         {0.3, 0, 0, ""},    {0.5, 0, 0, ""}, {0.005, 0.5, 0, ""},
         {0.3, 0, 24, ""},   {1, 0, 24, ""},  {0.005, 0.6, 20, ""},
         {0.6, 0, 0, "long"}};
-    for (const auto& kind : kinds)
+    for (const auto& kind : behaviours)
     {
-        int found = 0;
-        double most_bad = 0;
+        int detected_count = 0;
+        double max_bad_responses = 0;
         for (std::uint32_t seed = 1; seed <= seeds; ++seed)
         {
-            trial played({}, kind, seed);
-            found += played.play() >= 0 ? 1 : 0;
-            most_bad = std::max(most_bad, played.bad_answers());
+            simulation simulated({}, kind, seed);
+            detected_count += simulated.run() >= 0 ? 1 : 0;
+            max_bad_responses =
+                std::max(max_bad_responses, simulated.bad_responses());
         }
-        EXPECT_GE(found, seeds * 0.98)
-            << "failures " << kind.failures << ", slow " << kind.slow
+        EXPECT_GE(detected_count, seeds * 0.98)
+            << "failures " << kind.failure_rate << ", slow " << kind.slow_rate
             << ", from " << kind.from_update << ", route " << kind.route;
-        EXPECT_LT(most_bad, 50);
+        EXPECT_LT(max_bad_responses, 50);
     }
 }
 
-TEST(canary_analysis, says_what_condemned_a_version)
+TEST(canary_analysis, reports_the_test_that_detected_a_bad_version)
 {
-    trial played({}, {0.9, 0, 0, "long"}, 1);
-    ASSERT_GE(played.play(), 0);
-    EXPECT_NE(played.judge.verdict().proof.find("failures"), std::string::npos);
+    simulation simulated({}, {0.9, 0, 0, "long"}, 1);
+    ASSERT_GE(simulated.run(), 0);
+    EXPECT_NE(simulated.analysis.verdict().evidence.find("failures"),
+              std::string::npos);
 }
 
 } // namespace
--- a/tests/rollouts/version_gate_test.cpp
+++ b/tests/rollouts/version_gate_test.cpp
@@ -33,7 +33,7 @@
     version_gate gate;
 };
 
-TEST_F(version_gate_test, the_target_of_an_order_gets_nothing)
+TEST_F(version_gate_test, the_target_of_an_order_gets_no_requests)
 {
     gate.set_order(order_of(new_version, 5));
     gate.record_server(engines, new_version, false, at(10));
@@ -42,7 +42,7 @@
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
 
-// The list of servers may be read before the order that started them.
+// The list of upstreams may be read before the order that started them.
 TEST_F(version_gate_test, a_new_version_waits_until_its_order_would_be_known)
 {
     gate.record_server(engines, new_version, false, at(10));
@@ -53,7 +53,7 @@
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
 
-TEST_F(version_gate_test, a_version_that_an_order_names_later_is_kept_back)
+TEST_F(version_gate_test, a_version_that_a_later_order_targets_is_excluded)
 {
     gate.record_server(engines, new_version, false, at(10));
     gate.set_orders_known_at(at(11));
@@ -61,7 +61,7 @@
     EXPECT_FALSE(gate.allows(engines, new_version));
 }
 
-TEST_F(version_gate_test, an_older_order_says_nothing_any_more)
+TEST_F(version_gate_test, an_older_order_is_ignored)
 {
     gate.record_server(engines, new_version, false, at(10));
     EXPECT_TRUE(gate.set_order(order_of(old_version, 7)));
@@ -71,7 +71,7 @@
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
 
-TEST_F(version_gate_test, a_completed_version_is_served_and_stays_so)
+TEST_F(version_gate_test, a_completed_version_is_allowed_and_stays_so)
 {
     gate.set_order(order_of(new_version, 5));
     gate.record_server(engines, new_version, false, at(10));
@@ -85,8 +85,8 @@
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
 
-// Old servers stop without a word and are listed on for some seconds.
-TEST_F(version_gate_test, a_replaced_version_gets_nothing_until_started_anew)
+// Old upstreams stop without notice and remain listed for some seconds.
+TEST_F(version_gate_test, a_replaced_version_gets_no_requests_until_restarted)
 {
     gate.set_order(order_of(new_version, 5));
     gate.record_server(engines, new_version, false, at(10));
@@ -98,7 +98,7 @@
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
 
-TEST_F(version_gate_test, a_version_that_was_taken_back_gets_nothing)
+TEST_F(version_gate_test, a_rolled_back_version_gets_no_requests)
 {
     gate.set_order(order_of(new_version, 5));
     gate.record_server(engines, new_version, false, at(10));
@@ -107,15 +107,15 @@
     EXPECT_FALSE(gate.allows(engines, new_version));
 }
 
-// An order for what serves already must not stop the service.
-TEST_F(version_gate_test, the_only_version_there_is_serves)
+// An order for the version in use must not stop the service.
+TEST_F(version_gate_test, the_only_version_is_allowed)
 {
     gate.set_order(order_of(old_version, 5));
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
 
-// A host that starts meanwhile finds both versions in its first list.
-TEST(version_gate, a_host_that_starts_keeps_the_target_back)
+// A host that starts during a rollout finds both versions in its first list.
+TEST(version_gate, a_host_that_starts_excludes_the_target)
 {
     version_gate gate;
     gate.record_server(engines, new_version, true, at(0));
@@ -125,7 +125,7 @@
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
 
-TEST(version_gate, an_order_that_was_taken_back_keeps_nothing_back)
+TEST(version_gate, a_removed_order_excludes_no_version)
 {
     version_gate gate;
     gate.record_server(engines, old_version, true, at(0));
