--- a/tests/rollouts/version_gate_test.cpp
+++ b/tests/rollouts/version_gate_test.cpp
@@ -26,55 +26,55 @@
 protected:
     version_gate_test()
     {
-        gate.note_server(engines, old_version, true, at(0));
-        gate.note_orders_known(at(1));
+        gate.record_server(engines, old_version, true, at(0));
+        gate.set_orders_known_at(at(1));
     }
 
     version_gate gate;
 };
 
-TEST_F(version_gate_test, the_target_of_an_order_gets_nothing)
+TEST_F(version_gate_test, the_target_of_an_order_gets_no_requests)
 {
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
-    gate.note_orders_known(at(20));
+    gate.record_server(engines, new_version, false, at(10));
+    gate.set_orders_known_at(at(20));
     EXPECT_FALSE(gate.allows(engines, new_version));
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
 
-// The list of servers may be read before the order that started them.
+// The list of upstreams may be read before the order that started them.
 TEST_F(version_gate_test, a_new_version_waits_until_its_order_would_be_known)
 {
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     EXPECT_FALSE(gate.allows(engines, new_version));
-    gate.note_orders_known(at(9.9));
+    gate.set_orders_known_at(at(9.9));
     EXPECT_FALSE(gate.allows(engines, new_version));
-    gate.note_orders_known(at(10.1));
+    gate.set_orders_known_at(at(10.1));
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
 
-TEST_F(version_gate_test, a_version_that_an_order_names_later_is_kept_back)
+TEST_F(version_gate_test, a_version_that_a_later_order_targets_is_excluded)
 {
-    gate.note_server(engines, new_version, false, at(10));
-    gate.note_orders_known(at(11));
+    gate.record_server(engines, new_version, false, at(10));
+    gate.set_orders_known_at(at(11));
     gate.set_order(order_of(new_version, 5));
     EXPECT_FALSE(gate.allows(engines, new_version));
 }
 
-TEST_F(version_gate_test, an_older_order_says_nothing_any_more)
+TEST_F(version_gate_test, an_older_order_is_ignored)
 {
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     EXPECT_TRUE(gate.set_order(order_of(old_version, 7)));
     EXPECT_FALSE(gate.set_order(order_of(new_version, 5)));
-    gate.note_orders_known(at(11));
+    gate.set_orders_known_at(at(11));
     EXPECT_FALSE(gate.allows(engines, old_version));
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
 
-TEST_F(version_gate_test, a_completed_version_is_served_and_stays_so)
+TEST_F(version_gate_test, a_completed_version_is_allowed_and_stays_so)
 {
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     const log_offset offset(5);
     EXPECT_FALSE(gate.set_phase(engines, log_offset(4),
                                 rollout_phase::completed, at(12)));
@@ -85,55 +85,55 @@
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
 
-// Old servers stop without a word and are listed on for some seconds.
-TEST_F(version_gate_test, a_replaced_version_gets_nothing_until_started_anew)
+// Old upstreams stop without notice and remain listed for some seconds.
+TEST_F(version_gate_test, a_replaced_version_gets_no_requests_until_restarted)
 {
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     gate.set_phase(engines, log_offset(5), rollout_phase::completed, at(12));
     EXPECT_FALSE(gate.allows(engines, old_version));
-    gate.note_server(engines, old_version, false, at(14));
+    gate.record_server(engines, old_version, false, at(14));
     EXPECT_FALSE(gate.allows(engines, old_version));
-    gate.note_server(engines, old_version, false, at(40));
+    gate.record_server(engines, old_version, false, at(40));
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
 
-TEST_F(version_gate_test, a_version_that_was_taken_back_gets_nothing)
+TEST_F(version_gate_test, a_rolled_back_version_gets_no_requests)
 {
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
+    gate.record_server(engines, new_version, false, at(10));
     gate.set_phase(engines, log_offset(5), rollout_phase::rolled_back, at(12));
-    gate.note_orders_known(at(20));
+    gate.set_orders_known_at(at(20));
     EXPECT_FALSE(gate.allows(engines, new_version));
 }
 
-// An order for what serves already must not stop the service.
-TEST_F(version_gate_test, the_only_version_there_is_serves)
+// An order for the version in use must not stop the service.
+TEST_F(version_gate_test, the_only_version_is_allowed)
 {
     gate.set_order(order_of(old_version, 5));
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
 
-// A host that starts meanwhile finds both versions in its first list.
-TEST(version_gate, a_host_that_starts_keeps_the_target_back)
+// A host that starts during a rollout finds both versions in its first list.
+TEST(version_gate, a_host_that_starts_excludes_the_target)
 {
     version_gate gate;
-    gate.note_server(engines, new_version, true, at(0));
-    gate.note_server(engines, old_version, true, at(0));
+    gate.record_server(engines, new_version, true, at(0));
+    gate.record_server(engines, old_version, true, at(0));
     gate.set_order(order_of(new_version, 5));
     EXPECT_FALSE(gate.allows(engines, new_version));
     EXPECT_TRUE(gate.allows(engines, old_version));
 }
 
-TEST(version_gate, an_order_that_was_taken_back_keeps_nothing_back)
+TEST(version_gate, a_removed_order_excludes_no_version)
 {
     version_gate gate;
-    gate.note_server(engines, old_version, true, at(0));
+    gate.record_server(engines, old_version, true, at(0));
     gate.set_order(order_of(new_version, 5));
-    gate.note_server(engines, new_version, false, at(10));
-    gate.note_orders_known(at(11));
-    EXPECT_TRUE(gate.drop_order(engines));
-    EXPECT_FALSE(gate.drop_order(engines));
+    gate.record_server(engines, new_version, false, at(10));
+    gate.set_orders_known_at(at(11));
+    EXPECT_TRUE(gate.remove_order(engines));
+    EXPECT_FALSE(gate.remove_order(engines));
     EXPECT_TRUE(gate.allows(engines, new_version));
 }
 
