--- a/libraries/rollouts/canary_analysis.cpp
+++ b/libraries/rollouts/canary_analysis.cpp
@@ -158,8 +158,8 @@
     for (const auto& [name, route] : m_routes)
     {
         compare(name, "failures", route.scores.failures);
-        compare(name, "slow first events", route.scores.first_latency);
-        compare(name, "slow gaps between events", route.scores.gaps);
+        compare(name, "slow beginnings", route.scores.first_latency);
+        compare(name, "slow events", route.scores.gaps);
     }
     result.is_bad = result.highest_score >= 1;
     return result;
--- a/libraries/rollouts/rollout_controller.cpp
+++ b/libraries/rollouts/rollout_controller.cpp
@@ -85,7 +85,7 @@
         return {1,
                 is_complete ? std::optional(rollout_phase::completed)
                             : std::nullopt,
-                "no conclusive evidence against the target"};
+                "no proof against it"};
     }
     // 3. Move all requests to the target if there are enough responses, no
     // strong evidence against it, and few enough requests left until the
@@ -95,17 +95,15 @@
     if (is_acceptable && can_move_all(totals, now))
     {
         m_all_moved_at = now;
-        return {1, std::nullopt,
-                "the exposure bound allows moving all requests"};
+        return {1, std::nullopt, "as late as the bound asks for"};
     }
     // 4. Otherwise send the canary share.
     if (!is_within_bound(totals))
     {
-        return {0, std::nullopt, "the exposure bound is reached"};
+        return {0, std::nullopt, "the share is used up"};
     }
     return {canary_share(totals, now), std::nullopt,
-            is_acceptable ? "waiting for the deadline"
-                          : "too few responses from the target"};
+            is_acceptable ? "until the deadline" : "too little was seen"};
 }
 
 // The slack is spread over all requests expected until the deadline.
