--- a/services/gateway/duty_service.cpp
+++ b/services/gateway/duty_service.cpp
@@ -102,8 +102,8 @@
     boot_timer timer(m_state.context);
     while (true)
     {
-        const bool is_holder_heard = m_peers.hears_duty_holder();
-        note_candidacy(is_holder_heard || m_peers.hears_readers());
+        const bool is_holder_heard = m_peers.is_duty_holder_reachable();
+        note_candidacy(is_holder_heard || m_peers.has_active_readers());
         note_releases();
         const auto action =
             m_ledger.next_action(is_holder_heard, gateway_state::now());
@@ -193,12 +193,12 @@
             m_collecting_since = now;
             m_collection.begin(*window);
         }
-        if (m_collection.is_complete(m_peers.machines(true)))
+        if (m_collection.is_complete(m_peers.hosts(true)))
         {
             continue;
         }
-        m_peers.ask_counts(*window,
-                           m_collection.to_ask(m_peers.machines(false), now));
+        m_peers.request_counts(*window,
+                               m_collection.to_ask(m_peers.hosts(false), now));
     }
 }
 
@@ -385,7 +385,7 @@
     {
         return false;
     }
-    if (m_collection.is_complete(m_peers.machines(true)))
+    if (m_collection.is_complete(m_peers.hosts(true)))
     {
         return true;
     }
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -37,16 +37,17 @@
           m_state, std::string(platform::operator_topic),
           {[this](const auto& record) { take_operator_record(record); },
            [this](const auto& records) { take_operator_list(records); },
-           [this](log_offset from, const auto& records) {
-               m_peers.tell_read(std::string(platform::operator_topic), from,
-                                 records);
+           [this](log_offset from, const auto& records)
+           {
+               m_peers.share_records(std::string(platform::operator_topic),
+                                     from, records);
            }})
     , m_servers(m_state, std::string(platform::server_topic),
                 {[this](const auto& record) { take_server_record(record); },
                  [this](const auto& records) { take_server_list(records); },
                  [this](log_offset from, const auto& records) {
-                     m_peers.tell_read(std::string(platform::server_topic),
-                                       from, records);
+                     m_peers.share_records(std::string(platform::server_topic),
+                                           from, records);
                  }})
     , m_peers(m_state, {m_configuration, m_servers})
     , m_duties(m_state, m_peers)
@@ -180,9 +181,9 @@
         }
         note_suspension();
         log_server_changes();
-        m_state.skipped.write_line();
+        m_state.skipped.log_summary();
         m_state.servers.versions().note_orders_known(
-            gateway_state::to_time(m_configuration.known_at()));
+            gateway_state::to_time(m_configuration.complete_as_of()));
         m_state.pool.sweep(now);
         m_state.choice.drop_unlisted();
         m_state.limits.run_maintenance();
@@ -280,16 +281,17 @@
                   : 0);
     meter.set("configuration_store_answer_age_seconds",
               "Time since the store answered for the configuration.",
-              m_configuration.answer_age_seconds());
-    meter.set("configuration_known_age_seconds",
-              "Time since when a change of the configuration may be unknown.",
-              seconds_between(m_configuration.known_at(), monotonic::now()));
+              m_configuration.response_age_seconds());
+    meter.set(
+        "configuration_known_age_seconds",
+        "Time since when a change of the configuration may be unknown.",
+        seconds_between(m_configuration.complete_as_of(), monotonic::now()));
     meter.set("servers_known_age_seconds",
               "Time since when a change of the servers may be unknown.",
-              seconds_between(m_servers.known_at(), monotonic::now()));
+              seconds_between(m_servers.complete_as_of(), monotonic::now()));
     meter.set("servers_store_answer_age_seconds",
               "Time since the store answered for the list of servers.",
-              m_servers.answer_age_seconds());
+              m_servers.response_age_seconds());
     meter.set("servers_listed", "Servers in the list.",
               static_cast<double>(m_state.servers.all().size()));
     meter.set("records_skipped", "Records of the store that cannot be read.",
--- a/services/gateway/gateway_records.cpp
+++ b/services/gateway/gateway_records.cpp
@@ -59,8 +59,8 @@
     }
     catch (const json_error& error)
     {
-        m_state.skipped.note(platform::operator_topic, record.key,
-                             record.offset, error.what());
+        m_state.skipped.report(platform::operator_topic, record.key,
+                               record.offset, error.what());
     }
 }
 
@@ -86,12 +86,12 @@
              {"origin", std::string(name_of(m_configuration.newest_origin()))},
              {"role", std::string(name_of(m_state.role))},
              {"asked_ms_ago",
-              std::to_string(m_configuration.asked_age().count())}});
+              std::to_string(m_configuration.request_age().count())}});
     }
     catch (const json_error& error)
     {
-        m_state.skipped.note(platform::operator_topic, record.key,
-                             record.offset, error.what());
+        m_state.skipped.report(platform::operator_topic, record.key,
+                               record.offset, error.what());
     }
 }
 
@@ -125,8 +125,8 @@
         {
             note_change(record, "withheld");
         }
-        m_state.skipped.note(platform::server_topic, record.key, record.offset,
-                             error.what());
+        m_state.skipped.report(platform::server_topic, record.key,
+                               record.offset, error.what());
     }
 }
 
--- a/services/gateway/host_list.cpp
+++ b/services/gateway/host_list.cpp
@@ -13,26 +13,28 @@
 namespace
 {
 
-constexpr milliseconds store_time{1500};
-// A store that is down is back within seconds, or is down for long.
-constexpr int most_quick_attempts = 20;
+constexpr milliseconds store_timeout{1500};
+// The store's outages last either seconds or long; attempts are frequent only
+// at first.
+constexpr int max_quick_attempts = 20;
 constexpr milliseconds quick_publish_pause{700};
 constexpr milliseconds publish_pause{5000};
-// Hosts of a fleet that starts are all in the list after this time: they start
+// All hosts of a fleet that starts are in the list after this time: they start
 // within 0.3 s of one another.
 constexpr milliseconds fleet_start_time{1500};
 
 } // namespace
 
-host_list::host_list(gateway_state& state, finder found)
-    : m_state(state), m_found(std::move(found))
+host_list::host_list(gateway_state& state, host_callback on_host)
+    : m_state(state), m_on_host(std::move(on_host))
 {
 }
 
-// Learns from the store where the others are, and tells it where this host
-// is. A list that holds this host is from before its start: the others count
-// it already. The list that counts is read after this host was added, and, in
-// a fleet that starts, after the others were.
+// Adds this host's address to the store's list and reads those of the other
+// hosts. If the first list already contains this host, the entry is from an
+// earlier incarnation, and the other hosts count this host already. The list
+// that is used is read after this host was added, and, in a fleet that starts,
+// after the other hosts were.
 awaitable<void> host_list::publish_self()
 {
     http_caller caller(m_state.context, m_state.settings.store_address);
@@ -55,7 +57,7 @@
         {
             if (!was_listed)
             {
-                // Others that start with this one are to be in the list too.
+                // Waits until hosts that start at the same time are listed.
                 boot_timer start(m_state.context, fleet_start_time);
                 co_await start.async_wait(use_result);
             }
@@ -68,14 +70,14 @@
                 co_return;
             }
         }
-        boot_timer timer(m_state.context, attempt < most_quick_attempts
+        boot_timer timer(m_state.context, attempt < max_quick_attempts
                                               ? quick_publish_pause
                                               : publish_pause);
         co_await timer.async_wait(use_result);
     }
 }
 
-// @return whether the store has taken it
+// @return whether the store has accepted the record
 awaitable<bool> host_list::add_self(http_caller& caller)
 {
     const auto value =
@@ -83,15 +85,17 @@
     auto append = platform::append_call(
         platform::machine_topic,
         {platform::encode_keyed(m_state.self.value(), value)}, std::nullopt);
-    const auto answer = co_await caller.call(std::move(append), store_time);
-    co_return answer && answer->status == http_status::ok;
+    const auto response =
+        co_await caller.call(std::move(append), store_timeout);
+    co_return response && response->status == http_status::ok;
 }
 
-// @return whether this host is in the list; nothing if it was not read
+// @return whether this host is in the list; nothing if the list could not be
+// read
 awaitable<std::optional<bool>> host_list::list_hosts(http_caller& caller)
 {
     const auto listed = co_await list_topic(
-        caller, std::string(platform::machine_topic), store_time);
+        caller, std::string(platform::machine_topic), store_timeout);
     if (!listed)
     {
         co_return std::nullopt;
@@ -105,18 +109,19 @@
     co_return is_listed;
 }
 
-// A record's value is the host's address, a blank and its hall.
+// A record's value is the host's address, a space and its hall.
 void host_list::add_listed(const platform::keyed_record& record)
 {
     const auto value = record.value.value_or("");
-    const auto blank = value.find(' ');
-    const auto hall =
-        blank == std::string::npos ? std::string() : value.substr(blank + 1);
-    const host_address host{host_id(record.key), value.substr(0, blank),
+    const auto separator = value.find(' ');
+    const auto hall = separator == std::string::npos
+                          ? std::string()
+                          : value.substr(separator + 1);
+    const host_address host{host_id(record.key), value.substr(0, separator),
                             hall_id(hall)};
     m_state.quota.shared().fleet().add_host(host.name, host.hall,
                                             gateway_state::now());
-    m_found(host);
+    m_on_host(host);
 }
 
 } // namespace daleshelf
--- a/services/gateway/host_list.hpp
+++ b/services/gateway/host_list.hpp
@@ -12,17 +12,19 @@
 namespace daleshelf
 {
 
-/// Tells the store where this host is, and learns from it where the others
-/// are.
+/// Publishes this host's address in the store and reads the addresses of the
+/// other hosts from it.
 class host_list
 {
 public:
-    using finder = std::function<void(const host_address& host)>;
+    using host_callback = std::function<void(const host_address& host)>;
 
-    /// @param found called with each host that is listed
-    host_list(gateway_state& state, finder found);
+    /// @param state state of this gateway
+    /// @param on_host called with each host that is listed
+    host_list(gateway_state& state, host_callback on_host);
 
-    /// Ends once this host is in the list, and the list was read after it.
+    /// Adds this host to the list; returns once the list has been read after
+    /// that.
     awaitable<void> publish_self();
 
 private:
@@ -31,7 +33,7 @@
     void add_listed(const platform::keyed_record& record);
 
     gateway_state& m_state;
-    finder m_found;
+    host_callback m_on_host;
 };
 
 } // namespace daleshelf
--- a/services/gateway/limit_service.cpp
+++ b/services/gateway/limit_service.cpp
@@ -58,7 +58,7 @@
     }
     if (!records.empty())
     {
-        m_peers.tell_some(encode_limits(records));
+        m_peers.send_to_sample(encode_limits(records));
     }
     if (limits.has_updates())
     {
@@ -77,7 +77,7 @@
             m_state.quota.shared().limits().next_to_repeat(records_repeated);
         if (!records.empty())
         {
-            m_peers.tell_any(encode_limits(records));
+            m_peers.send_to_random_peer(encode_limits(records));
         }
     }
 }
@@ -105,7 +105,7 @@
     const auto known = m_state.quota.shared().limits().newest(most_records);
     if (!known.empty())
     {
-        m_peers.tell_one(address, encode_limits(known));
+        m_peers.send_to_peer(address, encode_limits(known));
     }
 }
 
--- a/services/gateway/peer_exchange.cpp
+++ b/services/gateway/peer_exchange.cpp
@@ -15,16 +15,18 @@
 namespace
 {
 
-constexpr milliseconds tick{250};
-// The store's calls grow with machines and changes; the pause holds them down.
-constexpr milliseconds least_change_pause{50};
-constexpr milliseconds most_change_pause{800};
+constexpr milliseconds tick_interval{250};
+// The calls to the store grow with the number of hosts and of changes; this
+// pause after each call bounds them.
+constexpr milliseconds min_change_pause{50};
+constexpr milliseconds max_change_pause{800};
 constexpr milliseconds readers_change_pause{400};
-constexpr std::size_t largest_datagram = 60000;
-// Told on by each, news reaches 580 hosts in four steps: of eight told at
-// random by every host one in 3,000 hears none.
-constexpr std::size_t told_at_once = 8;
-// A new machine counts once its state has gone to all, and a little later.
+constexpr std::size_t max_datagram_size = 60000;
+// If every host forwards an update to eight random peers, it reaches 580 hosts
+// in four hops, and one host in 3,000 receives none.
+constexpr std::size_t gossip_fanout = 8;
+// A new host counts once its state has been sent to all peers, and this margin
+// later.
 constexpr absl::Duration join_margin = absl::Seconds(1);
 
 std::string host_part(const std::string& address)
@@ -42,7 +44,8 @@
     const auto endpoint = parse_endpoint(address);
     if (!endpoint)
     {
-        throw std::invalid_argument(address + " is no IP:PORT");
+        throw std::invalid_argument(address +
+                                    " is not an address of the form IP:PORT");
     }
     return {endpoint->address(), endpoint->port()};
 }
@@ -52,14 +55,14 @@
 peer_exchange::peer_exchange(gateway_state& state, followed_topics topics)
     : m_state(state)
     , m_topics(topics)
-    , m_list(state, [this](const host_address& machine)
-             { m_table.add_address(machine, gateway_state::now()); })
+    , m_list(state, [this](const host_address& host)
+             { m_table.add_address(host, gateway_state::now()); })
     , m_table({state.self, state.settings.peers_address, state.hall},
               state.started, peer_options())
     , m_socket(state.context, udp_endpoint(state.settings.peers_address))
     , m_server(state.context, state.settings.peers_address,
                [this](const std::string& target)
-               { return m_sharing.answer(target); })
+               { return m_sharing.respond(target); })
     , m_sharing(state, topics, m_table,
                 [this](const std::string& address, const std::string& bytes)
                 { send_datagram(udp_endpoint(address), bytes); })
@@ -73,8 +76,8 @@
                 send_datagram(udp_endpoint(peer->second.address), bytes);
             }
         });
-    // All gateways use the same ports: a seed's IP number is enough. Until a
-    // seed is heard its address stands for its name.
+    // All gateways use the same ports, so a seed's IP address is enough. Until
+    // a seed has sent its state, its address is used as its name.
     for (const auto& seed : state.settings.peer_seeds)
     {
         const auto address = concat(host_part(seed), ":",
@@ -95,17 +98,18 @@
         asio::detached);
 }
 
-bool peer_exchange::hears_duty_holder() const
+bool peer_exchange::is_duty_holder_reachable() const
 {
     const auto now = gateway_state::now();
-    // The candidates hear a holder each tick, whatever the size of the fleet.
+    // Candidates receive the holder's state at every tick, whatever the size of
+    // the fleet.
     const bool is_follower = m_state.role == list_role::follower;
     for (const auto& [name, peer] : m_table.peers())
     {
-        const bool is_heard = is_follower
-                                  ? m_table.is_reachable(name, now)
-                                  : m_table.is_heard_recently(name, now);
-        if (is_heard && peer.state.duty_token >= 0 &&
+        const bool is_recent = is_follower
+                                   ? m_table.is_reachable(name, now)
+                                   : m_table.is_heard_recently(name, now);
+        if (is_recent && peer.state.duty_token >= 0 &&
             peer.state.duty_holder == name)
         {
             return true;
@@ -114,17 +118,17 @@
     return false;
 }
 
-void peer_exchange::ask_counts(std::int64_t window,
-                               const std::vector<host_id>& machines)
+void peer_exchange::request_counts(std::int64_t window,
+                                   const std::vector<host_id>& hosts)
 {
     window_counts question;
     question.from = {m_state.self, m_state.started};
     question.window = window;
     question.is_request = true;
     const auto bytes = encode(question);
-    for (const auto& machine : machines)
+    for (const auto& host : hosts)
     {
-        const auto peer = m_table.peers().find(machine);
+        const auto peer = m_table.peers().find(host);
         if (peer != m_table.peers().end())
         {
             send_datagram(udp_endpoint(peer->second.address), bytes);
@@ -132,7 +136,7 @@
     }
 }
 
-void peer_exchange::tell_all(const std::string& bytes)
+void peer_exchange::broadcast(const std::string& bytes)
 {
     for (const auto& [name, peer] : m_table.peers())
     {
@@ -140,25 +144,26 @@
     }
 }
 
-std::vector<host_id> peer_exchange::machines(bool is_in_reach) const
+std::vector<host_id> peer_exchange::hosts(bool is_reachable_only) const
 {
     const auto now = gateway_state::now();
-    std::vector<host_id> machines;
+    std::vector<host_id> hosts;
     for (const auto& [name, peer] : m_table.peers())
     {
-        if (!is_in_reach || m_table.is_reachable(name, now))
+        if (!is_reachable_only || m_table.is_reachable(name, now))
         {
-            machines.push_back(name);
+            hosts.push_back(name);
         }
     }
-    return machines;
+    return hosts;
 }
 
 std::map<host_id, told_work>
-peer_exchange::work_of_all(const service_name& service) const
+peer_exchange::fleet_work(const service_name& service) const
 {
     std::map<host_id, told_work> work;
-    // Whoever has sent nothing yet begins at nothing: its first work counts.
+    // A host that has sent nothing yet starts at zero, so that its first work
+    // is counted.
     auto& own = work[m_state.self];
     own.told_at = gateway_state::now();
     const auto load = m_state.loads.find(service);
@@ -172,13 +177,13 @@
         {
             continue;
         }
-        auto& told = work[name];
-        told.told_at = peer.heard_at;
+        auto& reported = work[name];
+        reported.told_at = peer.heard_at;
         for (const auto& sent : peer.state.services)
         {
             if (sent.service == service)
             {
-                told.work = sent.work;
+                reported.work = sent.work;
             }
         }
     }
@@ -187,7 +192,7 @@
 
 awaitable<void> peer_exchange::receive_all()
 {
-    std::vector<char> bytes(largest_datagram);
+    std::vector<char> bytes(max_datagram_size);
     asio::ip::udp::endpoint sender;
     while (true)
     {
@@ -223,21 +228,21 @@
         m_state.retries.set_hosts(m_state.quota.shared().fleet_size_bound(now));
         m_state.change_pause =
             std::clamp(absl::ToChronoMilliseconds(m_table.send_interval() / 3),
-                       least_change_pause,
+                       min_change_pause,
                        m_state.role == list_role::reader ? readers_change_pause
-                                                         : most_change_pause);
+                                                         : max_change_pause);
         m_sharing.choose_role();
         const auto bytes = encode(own_state());
-        send_to_some(bytes);
+        send_to_next_targets(bytes);
         send_to_candidates(bytes);
-        m_sharing.fetch_news();
-        timer.expires_after(tick +
+        m_sharing.fetch_newer_records();
+        timer.expires_after(tick_interval +
                             milliseconds(absl::Uniform(m_state.random, 0, 20)));
         co_await timer.async_wait(use_result);
     }
 }
 
-// One line for all that were heard first since the last tick.
+// Logs in one line all peers that joined since the last tick.
 void peer_exchange::log_joined()
 {
     if (m_joined.is_empty())
@@ -249,7 +254,7 @@
     m_joined.clear();
 }
 
-// A datagram that cannot be sent is one that is lost: others follow.
+// A datagram that cannot be sent is treated as lost: later ones replace it.
 void peer_exchange::send_datagram(const asio::ip::udp::endpoint& to,
                                   const std::string& bytes)
 {
@@ -258,9 +263,9 @@
                      ignored);
 }
 
-// Sends to each peer in its turn: a datagram to all at once would fill the
-// links of small machines.
-void peer_exchange::send_to_some(const std::string& bytes)
+// Sends to the peers in turn: sending to all at once would fill the links of
+// small hosts.
+void peer_exchange::send_to_next_targets(const std::string& bytes)
 {
     for (const auto& address : m_table.next_targets())
     {
@@ -268,13 +273,14 @@
     }
 }
 
-// Those that may take the duties over hear the holder, and one another, each
-// tick: the lease of a holder that is gone is missed within 1.5 s.
+// Sends this host's state at every tick to the candidates for the duties, if it
+// is one of them or has a token to announce, held or released. The candidates
+// so detect within 1.5 s that a holder has crashed.
 void peer_exchange::send_to_candidates(const std::string& bytes)
 {
-    const bool has_word = m_duty.token >= 0 || m_duty.released_token >= 0;
+    const bool has_token = m_duty.token >= 0 || m_duty.released_token >= 0;
     if (m_table.sends_to_all_peers() ||
-        (m_state.role != list_role::reader && !has_word))
+        (m_state.role != list_role::reader && !has_token))
     {
         return;
     }
@@ -323,7 +329,7 @@
     case datagram_format::records:
         if (const auto read = decode_shared_records(bytes))
         {
-            m_sharing.take_read(*read);
+            m_sharing.receive_records(*read);
         }
         return;
     case datagram_format::poison:
@@ -343,18 +349,18 @@
     }
 }
 
-void peer_exchange::tell_one(const std::string& address,
-                             const std::string& bytes)
+void peer_exchange::send_to_peer(const std::string& address,
+                                 const std::string& bytes)
 {
     send_datagram(udp_endpoint(address), bytes);
 }
 
-void peer_exchange::tell_some(const std::string& bytes)
+void peer_exchange::send_to_sample(const std::string& bytes)
 {
-    send_to_random(told_at_once, bytes);
+    send_to_random(gossip_fanout, bytes);
 }
 
-void peer_exchange::tell_any(const std::string& bytes)
+void peer_exchange::send_to_random_peer(const std::string& bytes)
 {
     send_to_random(1, bytes);
 }
--- a/services/gateway/peer_exchange.hpp
+++ b/services/gateway/peer_exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What this gateway and the others tell each other.
+/// Exchange of state between this gateway and its peers.
 #pragma once
 
 #include "gateway_state.hpp"
@@ -15,16 +15,17 @@
 namespace daleshelf
 {
 
-/// Who holds the duties, as this machine tells its peers.
+/// The lease of the duties, as this host announces it to its peers.
 struct duty_state
 {
     host_id holder;
     std::int64_t token = -1;
-    std::int64_t released_token = -1; ///< that this host gave up last
+    std::int64_t released_token = -1; ///< token last released by this host
 };
 
-/// Sends this machine's state to every peer a few times a second, by
-/// datagrams, and takes theirs, with those of quotas and of what was read.
+/// Sends this host's state to its peers by datagrams, a few times a second, and
+/// receives theirs. Also dispatches the datagrams of quotas, usage counts,
+/// roll-outs, poison requests, upstream limits and shared records.
 class peer_exchange
 {
 public:
@@ -32,11 +33,15 @@
 
     void start();
 
-    /// Tells the machines of this hall what has just been read from the store.
-    void tell_read(const std::string& topic, log_offset from,
-                   const std::vector<platform::keyed_record>& records)
+    /// Sends records that were just read from the store to the hosts of this
+    /// hall, if this host is a reader.
+    /// @param topic name of the topic
+    /// @param from offset of the first record
+    /// @param records consecutive records
+    void share_records(const std::string& topic, log_offset from,
+                       const std::vector<platform::keyed_record>& records)
     {
-        m_sharing.tell_read(topic, from, records);
+        m_sharing.share_records(topic, from, records);
     }
 
     [[nodiscard]] const peer_table& table() const
@@ -44,78 +49,85 @@
         return m_table;
     }
 
-    /// Sets what is told of the duties.
+    /// Sets the lease of the duties that is announced to peers.
     void set_duty(const duty_state& duty)
     {
         m_duty = duty;
     }
 
-    /// @return whether a peer in reach says that it holds the duties
-    [[nodiscard]] bool hears_duty_holder() const;
+    /// @return whether a reachable peer announces that it holds the duties
+    [[nodiscard]] bool is_duty_holder_reachable() const;
 
-    /// @return whether machines that watch the lease read for this one
-    [[nodiscard]] bool hears_readers() const
+    /// @return whether readers, which also watch the lease, read the store for
+    /// this host
+    [[nodiscard]] bool has_active_readers() const
     {
-        return m_topics.servers.is_told();
+        return m_topics.servers.is_served_by_readers();
     }
 
-    /// Asks machines for their counts of a usage window.
-    void ask_counts(std::int64_t window, const std::vector<host_id>& machines);
+    /// Requests the counts of a usage window from hosts.
+    /// @param window id of the window
+    /// @param hosts the hosts to ask; unknown ones are ignored
+    void request_counts(std::int64_t window, const std::vector<host_id>& hosts);
 
-    /// Sets who is told that a machine has told its counts of a window.
+    /// Sets the callback for a host that has reported its counts of a window.
     void set_counts_listener(
-        std::function<void(std::int64_t window, const host_id& machine)> told)
+        std::function<void(std::int64_t window, const host_id& host)> on_counts)
     {
-        m_on_counts_told = std::move(told);
+        m_on_counts = std::move(on_counts);
     }
 
     /// Sends a datagram to every peer.
-    void tell_all(const std::string& bytes);
+    void broadcast(const std::string& bytes);
 
-    /// Sends a datagram to a few peers, others at each call, who tell it on.
-    void tell_some(const std::string& bytes);
+    /// Sends a datagram to a random sample of peers, which forward it.
+    void send_to_sample(const std::string& bytes);
 
-    /// Sends a datagram to one peer at random.
-    void tell_any(const std::string& bytes);
+    /// Sends a datagram to one random peer.
+    void send_to_random_peer(const std::string& bytes);
 
-    /// Sends a datagram to one peer.
-    void tell_one(const std::string& address, const std::string& bytes);
+    /// Sends a datagram to the peer with this address.
+    void send_to_peer(const std::string& address, const std::string& bytes);
 
-    /// Adds a listener for the first message of a peer since its start.
-    void add_start_listener(std::function<void(const std::string&)> started)
+    /// Adds a callback for the first state received from an incarnation of a
+    /// peer.
+    /// @param on_start called with the peer's address
+    void add_start_listener(std::function<void(const std::string&)> on_start)
     {
-        m_on_peer_start.push_back(std::move(started));
+        m_on_peer_start.push_back(std::move(on_start));
     }
 
-    /// Sets who takes limits of upstreams.
-    void set_limit_listener(std::function<void(std::string_view)> take)
+    /// Sets the callback for datagrams with limits of upstreams.
+    void set_limit_listener(std::function<void(std::string_view)> on_limits)
     {
-        m_on_limits = std::move(take);
+        m_on_limits = std::move(on_limits);
     }
 
-    /// Sets who takes words of requests that may end servers.
-    void set_poison_listener(std::function<void(std::string_view)> take)
+    /// Sets the callback for datagrams about requests that may crash upstreams.
+    void set_poison_listener(std::function<void(std::string_view)> on_poison)
     {
-        m_on_poison = std::move(take);
+        m_on_poison = std::move(on_poison);
     }
 
-    /// Sets who takes words and reports of roll-outs.
-    /// @param take returns the bytes of an answer to the sender, or none
-    void set_rollout_listener(std::function<std::string(std::string_view)> take)
+    /// Sets the callback for orders and reports of roll-outs.
+    /// @param on_rollout returns the bytes of a response to the sender, or none
+    void set_rollout_listener(
+        std::function<std::string(std::string_view)> on_rollout)
     {
-        m_on_rollout = std::move(take);
+        m_on_rollout = std::move(on_rollout);
     }
 
-    /// @return machines that may be asked; those in reach alone, or all
-    [[nodiscard]] std::vector<host_id> machines(bool is_in_reach) const;
+    /// @param is_reachable_only whether unreachable peers are left out
+    /// @return the known peers
+    [[nodiscard]] std::vector<host_id> hosts(bool is_reachable_only) const;
 
-    /// @return work asked for through all machines since their starts, in
-    /// milliseconds of servers
+    /// @return work of the requests to the service through each host since its
+    /// start, in milliseconds of upstream time
     [[nodiscard]] std::map<host_id, told_work>
-    work_of_all(const service_name& service) const;
+    fleet_work(const service_name& service) const;
 
 private:
-    static constexpr std::size_t most_joined_named = 8;
+    static constexpr std::size_t max_joined_names = 8;
 
     awaitable<void> receive_all();
     awaitable<void> send_all();
@@ -127,12 +139,12 @@
     void apply(const host_state& state);
     void send_datagram(const asio::ip::udp::endpoint& to,
                        const std::string& bytes);
-    void send_to_some(const std::string& bytes);
+    void send_to_next_targets(const std::string& bytes);
     void send_to_candidates(const std::string& bytes);
     void send_to_random(std::size_t count, const std::string& bytes);
     [[nodiscard]] host_state own_state();
     [[nodiscard]] std::int64_t store_answer_age_ms() const;
-    [[nodiscard]] std::vector<host_address> some_machines();
+    [[nodiscard]] std::vector<host_address> next_known_hosts();
 
     gateway_state& m_state;
     followed_topics m_topics;
@@ -141,16 +153,16 @@
     asio::ip::udp::socket m_socket;
     small_server m_server;
     topic_sharing m_sharing;
-    std::function<void(std::int64_t, const host_id&)> m_on_counts_told;
+    std::function<void(std::int64_t, const host_id&)> m_on_counts;
     std::function<std::string(std::string_view)> m_on_rollout;
     std::function<void(std::string_view)> m_on_poison;
     std::function<void(std::string_view)> m_on_limits;
     std::vector<std::function<void(const std::string&)>> m_on_peer_start;
     duty_state m_duty;
-    /// Peers heard first since the last tick.
-    name_batch m_joined{most_joined_named};
+    /// Peers that joined since the last tick.
+    name_batch m_joined{max_joined_names};
     std::int64_t m_sequence = 0;
-    host_id m_last_named;
+    host_id m_last_announced;
 };
 
 } // namespace daleshelf
--- a/services/gateway/peer_states.cpp
+++ b/services/gateway/peer_states.cpp
@@ -1,4 +1,4 @@
-// What gateways tell each other of themselves, and what is made of it.
+// State and usage counts that gateways send each other, and their processing.
 #include "peer_exchange.hpp"
 
 #include <algorithm>
@@ -12,38 +12,38 @@
 namespace
 {
 
-constexpr std::size_t most_named_machines = 4;
+constexpr std::size_t max_announced_hosts = 4;
 
 } // namespace
 
 void peer_exchange::receive_counts(std::string_view bytes,
                                    const asio::ip::udp::endpoint& sender)
 {
-    const auto told = decode_window_counts(bytes);
-    if (!told)
+    const auto reported = decode_window_counts(bytes);
+    if (!reported)
     {
         return;
     }
-    if (!told->is_request)
+    if (!reported->is_request)
     {
-        m_table.merge_reported_counts(*told);
-        if (m_on_counts_told)
+        m_table.merge_reported_counts(*reported);
+        if (m_on_counts)
         {
-            m_on_counts_told(told->window, told->from.host);
+            m_on_counts(reported->window, reported->from.host);
         }
         return;
     }
-    if (m_state.usage.end_of(told->window) > m_state.time_of_day())
+    if (m_state.usage.end_of(reported->window) > m_state.time_of_day())
     {
-        // The asker's clock is ahead: it asks again.
+        // The requester's clock is ahead; it will repeat the request.
         return;
     }
     m_table.merge_own_counts(m_state.usage.counts(), m_state.started);
-    window_counts answer;
-    answer.from = {m_state.self, m_state.started};
-    answer.window = told->window;
-    answer.counts = m_table.reported_counts(told->window);
-    send_datagram(sender, encode(answer));
+    window_counts response;
+    response.from = {m_state.self, m_state.started};
+    response.window = reported->window;
+    response.counts = m_table.reported_counts(reported->window);
+    send_datagram(sender, encode(response));
 }
 
 void peer_exchange::receive_state(std::string_view bytes)
@@ -81,10 +81,10 @@
     quota.update_peer({state.self.name, state.hall, state.started,
                        state.is_stopping, state.fleet_size},
                       now);
-    for (const auto& machine : state.known_hosts)
+    for (const auto& known_host : state.known_hosts)
     {
-        m_table.add_address(machine, now);
-        quota.fleet().add_host(machine.name, machine.hall, now);
+        m_table.add_address(known_host, now);
+        quota.fleet().add_host(known_host.name, known_host.hall, now);
     }
     absl::flat_hash_map<upstream_id, server_load> loads;
     for (const auto& load : state.loads)
@@ -92,12 +92,12 @@
         loads[load.server] = {load.active, load.unread_tokens};
     }
     m_state.choice.set_peer_load(state.self.name, std::move(loads));
-    for (const auto& told : state.services)
+    for (const auto& reported : state.services)
     {
         if (m_state.settings.learns_engines)
         {
-            m_state.engines.of(told.service)
-                .set_peer(state.self.name, told.learned);
+            m_state.engines.of(reported.service)
+                .set_peer(state.self.name, reported.learned);
         }
     }
 }
@@ -114,7 +114,7 @@
         m_state.routes ? m_state.routes->configuration().version : 0;
     state.servers_offset = m_topics.servers.next();
     state.is_stopping = m_state.is_stopping;
-    state.reaches_store = m_topics.configuration.is_reached();
+    state.reaches_store = m_topics.configuration.is_store_reachable();
     for (const auto& [service, load] : m_state.loads)
     {
         state.services.push_back(
@@ -130,7 +130,7 @@
     m_table.merge_own_counts(m_state.usage.counts(), m_state.started);
     state.counts = m_table.unsettled_windows(m_state.usage.counts());
     state.relayed_counts = m_table.relayed_counts(m_state.started);
-    state.known_hosts = some_machines();
+    state.known_hosts = next_known_hosts();
     state.fleet_size =
         static_cast<std::int64_t>(m_state.quota.shared().fleet_size());
     state.duty_holder = m_duty.holder;
@@ -142,34 +142,35 @@
 
 std::int64_t peer_exchange::store_answer_age_ms() const
 {
-    const auto seconds = std::min(m_topics.configuration.answer_age_seconds(),
-                                  m_topics.servers.answer_age_seconds());
-    constexpr double ms_a_second = 1000;
-    return static_cast<std::int64_t>(seconds * ms_a_second);
+    const auto seconds = std::min(m_topics.configuration.response_age_seconds(),
+                                  m_topics.servers.response_age_seconds());
+    constexpr double ms_per_second = 1000;
+    return static_cast<std::int64_t>(seconds * ms_per_second);
 }
 
-// Others at each call, so that all are named in turn.
-std::vector<host_address> peer_exchange::some_machines()
+// Returns different hosts at each call, so that all are announced in turn.
+std::vector<host_address> peer_exchange::next_known_hosts()
 {
     const auto& peers = m_table.peers();
-    std::vector<host_address> named;
-    auto peer = peers.upper_bound(m_last_named);
+    std::vector<host_address> announced;
+    auto peer = peers.upper_bound(m_last_announced);
     for (std::size_t index = 0;
-         index < peers.size() && named.size() < most_named_machines; ++index)
+         index < peers.size() && announced.size() < max_announced_hosts;
+         ++index)
     {
         if (peer == peers.end())
         {
             peer = peers.begin();
         }
-        m_last_named = peer->first;
+        m_last_announced = peer->first;
         if (peer->second.heard_at != absl::InfinitePast())
         {
-            named.push_back(
+            announced.push_back(
                 {peer->first, peer->second.address, peer->second.state.hall});
         }
         ++peer;
     }
-    return named;
+    return announced;
 }
 
 } // namespace daleshelf
--- a/services/gateway/poison_service.cpp
+++ b/services/gateway/poison_service.cpp
@@ -92,8 +92,8 @@
                                      now - std::max(age, absl::ZeroDuration()));
     if (!written_ms || !known)
     {
-        m_state.skipped.note(platform::poison_topic, record.key, record.offset,
-                             "no record of a request");
+        m_state.skipped.report(platform::poison_topic, record.key,
+                               record.offset, "no record of a request");
         return;
     }
     for (const auto& told : *known)
@@ -151,7 +151,7 @@
     }
     if (!told.empty())
     {
-        m_peers.tell_some(encode_poison(told, now));
+        m_peers.send_to_sample(encode_poison(told, now));
     }
     if (m_state.poison.has_unsent())
     {
@@ -168,7 +168,8 @@
     const auto known = m_state.poison.newest(most_told);
     if (tells && !known.empty())
     {
-        m_peers.tell_one(address, encode_poison(known, gateway_state::now()));
+        m_peers.send_to_peer(address,
+                             encode_poison(known, gateway_state::now()));
     }
 }
 
--- a/services/gateway/rollout_service.cpp
+++ b/services/gateway/rollout_service.cpp
@@ -353,7 +353,7 @@
     const rollout_word word{m_state.self, order.service, order.offset, phase,
                             share,        token,         ++m_sequence};
     m_state.rollouts.hear(word, gateway_state::now());
-    m_peers.tell_all(encode(word));
+    m_peers.broadcast(encode(word));
 }
 
 void rollout_service::tell_ends(std::int64_t token)
--- a/services/gateway/scale_service.cpp
+++ b/services/gateway/scale_service.cpp
@@ -276,7 +276,7 @@
     const service_demand fresh{demand_meter(demand_memory),
                                initial_fleet(list_settle_time)};
     auto& known = m_services.try_emplace(service.name, fresh).first->second;
-    known.meter.note(m_peers.work_of_all(service.name), now);
+    known.meter.note(m_peers.fleet_work(service.name), now);
     if (known.meter.peak().prompts > 0)
     {
         known.since = std::min(known.since, now);
--- a/services/gateway/skipped_records.cpp
+++ b/services/gateway/skipped_records.cpp
@@ -6,8 +6,8 @@
 namespace daleshelf
 {
 
-void skipped_records::note(std::string_view topic, std::string_view key,
-                           log_offset offset, std::string_view error)
+void skipped_records::report(std::string_view topic, std::string_view key,
+                             log_offset offset, std::string_view error)
 {
     ++m_total;
     m_batch.add(concat(topic, "/", key));
@@ -15,7 +15,7 @@
     m_error = error;
 }
 
-void skipped_records::write_line()
+void skipped_records::log_summary()
 {
     if (m_batch.is_empty())
     {
--- a/services/gateway/topic_follower.cpp
+++ b/services/gateway/topic_follower.cpp
@@ -11,17 +11,18 @@
 {
 
 constexpr milliseconds fresh_slack{300};
-constexpr milliseconds answer_time{1500};
-constexpr milliseconds shortest_tail{500};
-constexpr milliseconds first_pause{100};
-constexpr milliseconds longest_pause{1000};
-constexpr std::chrono::seconds reached_time{3};
-constexpr milliseconds role_look{100};
-// A machine that others read for asks the store itself after this silence.
-constexpr milliseconds told_time{1400};
-// What one datagram lacks another brings: two readers tell the same, each twice
-// a second of each topic.
-constexpr milliseconds gap_time{300};
+constexpr milliseconds page_timeout{1500};
+constexpr milliseconds min_tail_duration{500};
+constexpr milliseconds initial_backoff{100};
+constexpr milliseconds max_backoff{1000};
+constexpr std::chrono::seconds reachable_timeout{3};
+constexpr milliseconds role_poll_interval{100};
+// A follower calls the store itself if no reader has reported for this long.
+constexpr milliseconds reader_timeout{1400};
+// A lost datagram is normally covered by the next one: two readers send the
+// same records, each of them twice a second per topic. A follower waits this
+// long for missing records before it calls the store.
+constexpr milliseconds gap_timeout{300};
 
 } // namespace
 
@@ -40,11 +41,11 @@
 }
 
 topic_follower::topic_follower(gateway_state& state, std::string topic,
-                               topic_events events)
+                               topic_callbacks callbacks)
     : m_state(state)
     , m_topic(std::move(topic))
     , m_listing(m_topic)
-    , m_events(std::move(events))
+    , m_callbacks(std::move(callbacks))
     , m_caller(state.context, state.settings.store_address)
     , m_wake(state.context.get_executor())
 {
@@ -54,27 +55,27 @@
 {
     while (true)
     {
-        bool was_answered = false;
+        bool has_succeeded = false;
         if (m_has_listed)
         {
             co_await wait_for_role();
-            co_await wait_for_readers();
-            was_answered = co_await tail();
+            co_await wait_while_readers_report();
+            has_succeeded = co_await tail();
         }
         else
         {
-            was_answered = co_await list();
+            has_succeeded = co_await list();
         }
-        note_answer(was_answered);
-        if (was_answered)
+        record_call_result(has_succeeded);
+        if (has_succeeded)
         {
             co_await m_wake.wait_for(m_state.change_pause);
             continue;
         }
-        const auto pause = std::min(
-            longest_pause, first_pause * (1 << std::min(m_failures, 4)));
+        const auto backoff = std::min(
+            max_backoff, initial_backoff * (1 << std::min(m_failures, 4)));
         co_await m_wake.wait_for(
-            pause + milliseconds(absl::Uniform(m_state.random, 0, 50)));
+            backoff + milliseconds(absl::Uniform(m_state.random, 0, 50)));
     }
 }
 
@@ -86,7 +87,7 @@
     {
         return 0;
     }
-    std::size_t news = 0;
+    std::size_t new_records = 0;
     std::map<std::string, platform::keyed_record> listed;
     for (const auto& record : records)
     {
@@ -94,15 +95,15 @@
         const auto known = m_records.find(record.key);
         if (known == m_records.end() || known->second.offset < record.offset)
         {
-            ++news;
+            ++new_records;
         }
     }
     m_origin = record_origin::peer;
     apply_list(listed, next);
-    return news;
+    return new_records;
 }
 
-bool topic_follower::take_read(
+bool topic_follower::apply_shared_records(
     log_offset from, const std::vector<platform::keyed_record>& records,
     monotonic::time_point now)
 {
@@ -112,113 +113,117 @@
     }
     const log_offset end(from.value() +
                          static_cast<std::int64_t>(records.size()));
-    m_heard_end = std::max(m_heard_end, end);
+    m_announced_end = std::max(m_announced_end, end);
     if (from <= m_next)
     {
         m_origin = records.empty() ? m_origin : record_origin::reader;
-        take_page(from, records);
+        apply_page(from, records);
     }
-    // A reader that is behind for a moment says that there is nothing newer
-    // than what is known here: that is no answer to what another one tells of.
-    if (m_next < m_heard_end)
+    // A reader that lags behind reports that there is nothing newer than the
+    // records known here; this does not close a gap that another reader has
+    // announced.
+    if (m_next < m_announced_end)
     {
-        return has_missed(now);
+        return has_persistent_gap(now);
     }
     m_gap_since.reset();
     if (m_next == end)
     {
-        m_told_at = now;
-        // A reader that says so has asked the store within this time.
-        m_known_at = std::max(m_known_at, now - tail_wait - fresh_slack);
+        m_last_report_at = now;
+        // A reader reports only if the store has responded within this time.
+        m_complete_as_of =
+            std::max(m_complete_as_of, now - tail_wait - fresh_slack);
     }
     return false;
 }
 
-// Something is missing of what readers tell.
-// @return whether it has been for so long that the store is asked
-bool topic_follower::has_missed(monotonic::time_point now)
+// Handles a gap between the known records and those that readers announced.
+// @return whether the gap has lasted so long that the store is called
+bool topic_follower::has_persistent_gap(monotonic::time_point now)
 {
     if (!m_gap_since)
     {
         m_gap_since = now;
     }
-    const bool is_missed = now - *m_gap_since >= gap_time;
-    if (is_missed)
+    const bool is_persistent = now - *m_gap_since >= gap_timeout;
+    if (is_persistent)
     {
         m_gap_since.reset();
-        m_told_at = {};
+        m_last_report_at = {};
         m_wake.notify();
     }
-    return is_missed;
+    return is_persistent;
 }
 
-// A host that starts has just listed all that there is; who tells it of changes
-// it knows when it has read the list of hosts. Before, 295 hosts that started
-// together asked 2,500 times for the servers that were starting too.
+// Waits until the host knows its role. A host that starts has just listed all
+// records, and learns its readers from the list of hosts. Without this wait,
+// 295 hosts that start together call the store 2,500 times for the upstreams
+// that start at the same time.
 awaitable<void> topic_follower::wait_for_role()
 {
     while (m_state.role == list_role::starting)
     {
-        co_await m_wake.wait_for(role_look);
-        // Readers have the time that they have for a word, from now on.
-        m_told_at = monotonic::now();
+        co_await m_wake.wait_for(role_poll_interval);
+        // The timeout for the readers' first report starts now.
+        m_last_report_at = monotonic::now();
     }
 }
 
-// While others read what the store tells, it need not be asked.
-awaitable<void> topic_follower::wait_for_readers()
+// Makes no calls to the store while readers of the hall report its records.
+awaitable<void> topic_follower::wait_while_readers_report()
 {
-    while (is_told())
+    while (is_served_by_readers())
     {
-        co_await m_wake.wait_until(m_told_at + told_time);
+        co_await m_wake.wait_until(m_last_report_at + reader_timeout);
     }
 }
 
-bool topic_follower::is_told() const
+bool topic_follower::is_served_by_readers() const
 {
-    return m_events.on_read && m_state.role == list_role::follower &&
-           monotonic::now() < m_told_at + told_time;
+    return m_callbacks.on_read && m_state.role == list_role::follower &&
+           monotonic::now() < m_last_report_at + reader_timeout;
 }
 
 bool topic_follower::is_fresh() const
 {
-    const auto since = m_is_tailing ? m_asked_at : m_answered_at;
+    const auto since = m_is_tailing ? m_requested_at : m_responded_at;
     return m_has_listed && m_failures == 0 &&
            monotonic::now() - since < tail_wait + fresh_slack;
 }
 
-bool topic_follower::is_reached() const
+bool topic_follower::is_store_reachable() const
 {
     const auto now = monotonic::now();
     if (m_is_tailing && m_failures == 0)
     {
-        // A held call is no silence before its time is over.
-        return now - m_asked_at < tail_wait + tail_answer_time;
+        // A long poll may stay without a response until its timeout.
+        return now - m_requested_at < tail_wait + tail_response_margin;
     }
-    if (is_told())
+    if (is_served_by_readers())
     {
-        // It does not ask while others read for it.
-        return m_was_reached;
+        // The host makes no calls while readers serve it.
+        return m_was_reachable;
     }
-    return now - m_answered_at < reached_time;
+    return now - m_responded_at < reachable_timeout;
 }
 
-milliseconds topic_follower::asked_age() const
+milliseconds topic_follower::request_age() const
 {
     return std::chrono::duration_cast<milliseconds>(monotonic::now() -
-                                                    m_asked_at);
+                                                    m_requested_at);
 }
 
-double topic_follower::answer_age_seconds() const
+double topic_follower::response_age_seconds() const
 {
     using seconds = std::chrono::duration<double>;
-    return seconds(monotonic::now() - m_answered_at).count();
+    return seconds(monotonic::now() - m_responded_at).count();
 }
 
 awaitable<bool> topic_follower::list()
 {
-    const bool is_whole = co_await m_listing.go_on(m_caller, answer_time);
-    if (!is_whole)
+    const bool is_complete =
+        co_await m_listing.fetch_remaining(m_caller, page_timeout);
+    if (!is_complete)
     {
         co_return false;
     }
@@ -231,18 +236,18 @@
     }
     if (read.end < m_next)
     {
-        // A stale read: what is known is newer.
+        // The response is stale: the known records are newer.
         co_return false;
     }
     for (std::size_t index = 0; index < read.skipped; ++index)
     {
-        note_skipped(read.end);
+        report_skipped(read.end);
     }
     m_origin = record_origin::store;
     apply_list(listed, read.end);
-    m_known_at = std::max(m_known_at, read.asked_at);
-    // A host whose hall has readers waits for their word from now on.
-    m_told_at = monotonic::now();
+    m_complete_as_of = std::max(m_complete_as_of, read.requested_at);
+    // The timeout for reports of the hall's readers restarts.
+    m_last_report_at = monotonic::now();
     co_return true;
 }
 
@@ -250,34 +255,35 @@
 {
     const auto from = m_next;
     m_is_tailing = true;
-    m_asked_at = monotonic::now();
+    m_requested_at = monotonic::now();
     auto call = platform::read_call(m_topic, from, tail_wait);
-    const auto answer =
-        co_await m_caller.call(std::move(call), tail_wait + tail_answer_time);
+    const auto response = co_await m_caller.call(
+        std::move(call), tail_wait + tail_response_margin);
     m_is_tailing = false;
-    const bool is_at_once = monotonic::now() - m_asked_at < shortest_tail;
-    if (!answer)
+    const bool is_immediate =
+        monotonic::now() - m_requested_at < min_tail_duration;
+    if (!response)
     {
-        log_given_up();
+        log_wait_timeout();
         co_return false;
     }
-    if (answer->status == http_status::gone)
+    if (response->status == http_status::gone)
     {
         log(events::log_trimmed,
             {{"topic", m_topic}, {"offset", std::to_string(from.value())}});
         m_has_listed = false;
         co_return true;
     }
-    if (answer->status != http_status::ok)
+    if (response->status != http_status::ok)
     {
         co_return false;
     }
     try
     {
-        const auto page = platform::read_page(answer->body);
+        const auto page = platform::read_page(response->body);
         if (page.first > from && !page.records.empty())
         {
-            // Records between were dropped unseen.
+            // The log dropped records before they were read.
             m_has_listed = false;
             co_return true;
         }
@@ -292,19 +298,19 @@
         {
             m_origin = record_origin::store;
         }
-        take_page(from, records);
-        if (!records.empty() && m_events.on_read)
+        apply_page(from, records);
+        if (!records.empty() && m_callbacks.on_read)
         {
-            m_events.on_read(from, records);
+            m_callbacks.on_read(from, records);
         }
-        if (page.records.empty() && is_at_once)
+        if (page.records.empty() && is_immediate)
         {
-            // A stale answer: what is known is newer.
+            // The response is stale: the known records are newer.
             co_return false;
         }
-        m_known_at = std::max(m_known_at, m_asked_at);
-        // The store knows what there is, whatever a word has told.
-        m_heard_end = m_next;
+        m_complete_as_of = std::max(m_complete_as_of, m_requested_at);
+        // The store is authoritative over offsets that readers announce.
+        m_announced_end = m_next;
     }
     catch (const json_error&)
     {
@@ -314,16 +320,17 @@
     co_return true;
 }
 
-void topic_follower::note_skipped(log_offset offset)
+void topic_follower::report_skipped(log_offset offset)
 {
-    m_state.skipped.note(m_topic, "", offset, "no key");
+    m_state.skipped.report(m_topic, "", offset, "no key");
 }
 
-// A call that fails at once is told by `log_unreachable`.
-void topic_follower::log_given_up() const
+// Logs a long poll that timed out; `log_unreachable` covers calls that fail
+// sooner.
+void topic_follower::log_wait_timeout() const
 {
-    const auto waited =
-        std::chrono::duration_cast<milliseconds>(monotonic::now() - m_asked_at);
+    const auto waited = std::chrono::duration_cast<milliseconds>(
+        monotonic::now() - m_requested_at);
     if (waited < tail_wait)
     {
         return;
@@ -334,8 +341,8 @@
                                 {"role", std::string(name_of(m_state.role))}});
 }
 
-// Takes the records of consecutive offsets that are not known yet.
-void topic_follower::take_page(
+// Applies those records of consecutive offsets that are not known yet.
+void topic_follower::apply_page(
     log_offset from, const std::vector<platform::keyed_record>& records)
 {
     auto offset = from;
@@ -343,39 +350,41 @@
     {
         if (offset >= m_next)
         {
-            take(record);
+            apply_record(record);
             m_next = offset.next();
         }
         offset = offset.next();
     }
 }
 
-// Takes a whole list: what it lacks had been dropped before `next`.
+// Applies a complete list: known records that it lacks were dropped before
+// `next`.
 void topic_follower::apply_list(
     const std::map<std::string, platform::keyed_record>& listed,
     log_offset next)
 {
     for (const auto& [key, record] : listed)
     {
-        take(record);
+        apply_record(record);
     }
     for (auto known = m_records.begin(); known != m_records.end();)
     {
-        const bool is_gone =
+        const bool is_removed =
             !listed.contains(known->first) && known->second.offset < next;
-        known = is_gone ? m_records.erase(known) : std::next(known);
+        known = is_removed ? m_records.erase(known) : std::next(known);
     }
     m_next = std::max(m_next, next);
     m_has_listed = true;
-    m_events.on_list(m_records);
+    m_callbacks.on_list(m_records);
 }
 
-void topic_follower::take(const platform::keyed_record& record)
+void topic_follower::apply_record(const platform::keyed_record& record)
 {
     if (!record.is_readable())
     {
-        // What cannot be read says nothing of any key; the next one may.
-        note_skipped(record.offset);
+        // An unreadable record is skipped: it changes no key, and later records
+        // may be readable.
+        report_skipped(record.offset);
         return;
     }
     const auto known = m_records.find(record.key);
@@ -391,25 +400,26 @@
     {
         m_records.erase(known);
     }
-    m_events.on_record(record);
+    m_callbacks.on_record(record);
 }
 
-void topic_follower::note_answer(bool was_answered)
+void topic_follower::record_call_result(bool has_succeeded)
 {
-    if (was_answered)
+    if (has_succeeded)
     {
-        m_answered_at = monotonic::now();
+        m_responded_at = monotonic::now();
         m_failures = 0;
     }
     else
     {
         ++m_failures;
     }
-    const bool is_reached_now = was_answered;
-    if (is_reached_now != m_was_reached && (was_answered || m_failures > 1))
+    const bool is_reachable_now = has_succeeded;
+    if (is_reachable_now != m_was_reachable &&
+        (has_succeeded || m_failures > 1))
     {
-        m_was_reached = is_reached_now;
-        log(is_reached_now ? events::log_reachable : events::log_unreachable,
+        m_was_reachable = is_reachable_now;
+        log(is_reachable_now ? events::log_reachable : events::log_unreachable,
             {{"topic", m_topic}, {"offset", std::to_string(m_next.value())}});
     }
 }
--- a/services/gateway/topic_follower.hpp
+++ b/services/gateway/topic_follower.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Follows one topic with keys of the platform's store.
+/// Follower of one keyed topic of the platform's store.
 #pragma once
 
 #include "async_event.hpp"
@@ -15,64 +15,72 @@
 namespace daleshelf
 {
 
-/// Who told of a record.
+/// The source that a record was received from.
 enum class record_origin
 {
     store,
-    reader, ///< a host that reads the store for the others of its hall
-    peer,   ///< a host that was asked for all that it knows
+    reader, ///< a host that reads the store for the other hosts of its hall
+    peer,   ///< a host from which all known records were fetched
 };
 
-/// What a follower tells of its topic.
-struct topic_events
+/// Callbacks by which a follower reports the changes of its topic.
+struct topic_callbacks
 {
-    /// One record, newer than all before of the same key.
+    /// Called with a record that is newer than all before of the same key.
     std::function<void(const platform::keyed_record&)> on_record;
-    /// The records are complete: the list of keys that there are.
+    /// Called with the newest record of each key once the list is complete.
     std::function<void(const std::map<std::string, platform::keyed_record>&)>
         on_list;
-    /// Records from an offset on, just read from the store; empty where nobody
-    /// reads for others.
+    /// Called with consecutive records just read from the store and the offset
+    /// of the first; empty if the host does not share this topic.
     std::function<void(log_offset, const std::vector<platform::keyed_record>&)>
         on_read = nullptr;
 };
 
-/// @return its name in the log
+/// @return the name of the origin in the log
 [[nodiscard]] std::string_view name_of(record_origin origin);
 
-/// Lists the newest records, then waits for more from the first page's end
-/// on. If records were dropped before they were read, it lists again. Nothing
-/// it hands on is older than what it handed on before. See
-/// docs/design/platform.md.
+/// Lists the newest records of a topic, then reads its changes by long polls
+/// that start at the end offset of the list's first page. Lists again if the
+/// log dropped records before they were read. Never reports a record older than
+/// one reported before for the same key. See docs/design/platform.md.
 class topic_follower
 {
 public:
     topic_follower(gateway_state& state, std::string topic,
-                   topic_events events);
+                   topic_callbacks callbacks);
 
-    /// How long the store may hold a call that waits for changes, in any role.
-    /// A connection that has died in silence, or whose answer was lost, shows
-    /// only when such a call is over: TCP's own probes take three seconds. A
-    /// host whose call hung for longer heard of no server that left.
+    /// How long the store may hold a long poll, in any role. A connection that
+    /// broke silently, or whose response was lost, is detected only when the
+    /// poll times out: TCP's keep-alive probes take three seconds. A host whose
+    /// poll hangs longer misses upstreams that leave.
     static constexpr milliseconds tail_wait{800};
-    /// How long an answer may take beyond that.
-    static constexpr milliseconds tail_answer_time{700};
+    /// How long the response may take beyond that.
+    static constexpr milliseconds tail_response_margin{700};
 
-    /// Follows until the process ends.
+    /// Follows the topic until the process exits.
     awaitable<void> run();
 
-    /// Takes newer records from a peer.
-    /// @return how many were news
+    /// Applies the complete list of records that a peer knows, unless the
+    /// follower already knows all records before `next`.
+    /// @param records the newest record of each key
+    /// @param next offset up to which the peer knows all records
+    /// @return number of records that were not known before
     std::size_t merge(const std::vector<platform::keyed_record>& records,
                       log_offset next);
 
-    /// Takes what a peer has just read, if it follows on what is known; no
-    /// records at all say that there are none after `from`.
-    /// @return whether the store is asked for what was missed: the next words
-    /// of the readers did not bring it
-    bool take_read(log_offset from,
-                   const std::vector<platform::keyed_record>& records,
-                   monotonic::time_point now);
+    /// Applies records that a reader of the hall has just read from the store,
+    /// if they leave no gap after the known ones.
+    /// @param from offset of the first record
+    /// @param records consecutive records; empty if there are none from `from`
+    /// on
+    /// @param now the present time
+    /// @return whether the store is called because the readers' later datagrams
+    /// did not close a gap
+    bool
+    apply_shared_records(log_offset from,
+                         const std::vector<platform::keyed_record>& records,
+                         monotonic::time_point now);
 
     /// @return the offset up to which all records are known
     [[nodiscard]] log_offset next() const
@@ -87,67 +95,70 @@
         return m_records;
     }
 
-    /// @return whether a change would have been heard of by now
+    /// @return whether the store has confirmed recently that the records are up
+    /// to date
     [[nodiscard]] bool is_fresh() const;
 
-    /// @return who told of the newest records
+    /// @return where the newest records came from
     [[nodiscard]] record_origin newest_origin() const
     {
         return m_origin;
     }
 
-    /// @return a time as of which nothing of the topic is unknown here
-    [[nodiscard]] monotonic::time_point known_at() const
+    /// @return latest time up to which all records of the topic are known
+    [[nodiscard]] monotonic::time_point complete_as_of() const
     {
-        return m_known_at;
+        return m_complete_as_of;
     }
 
-    /// @return whether the store has answered lately
-    [[nodiscard]] bool is_reached() const;
+    /// @return whether the store has responded recently
+    [[nodiscard]] bool is_store_reachable() const;
 
-    /// @return whether others read for this machine, and have said so lately
-    [[nodiscard]] bool is_told() const;
+    /// @return whether readers of the hall read the topic for this host and
+    /// have reported recently
+    [[nodiscard]] bool is_served_by_readers() const;
 
-    /// @return time since the store was last asked for changes
-    [[nodiscard]] milliseconds asked_age() const;
+    /// @return time since the last call for changes was sent to the store
+    [[nodiscard]] milliseconds request_age() const;
 
-    /// @return time since the store answered, in seconds
-    [[nodiscard]] double answer_age_seconds() const;
+    /// @return time since the last response of the store, in seconds
+    [[nodiscard]] double response_age_seconds() const;
 
 private:
     awaitable<bool> list();
     awaitable<bool> tail();
     awaitable<void> wait_for_role();
-    awaitable<void> wait_for_readers();
-    bool has_missed(monotonic::time_point now);
-    void take_page(log_offset from,
-                   const std::vector<platform::keyed_record>& records);
+    awaitable<void> wait_while_readers_report();
+    bool has_persistent_gap(monotonic::time_point now);
+    void apply_page(log_offset from,
+                    const std::vector<platform::keyed_record>& records);
     void apply_list(const std::map<std::string, platform::keyed_record>& listed,
                     log_offset next);
-    void take(const platform::keyed_record& record);
-    void note_answer(bool was_answered);
-    void log_given_up() const;
-    void note_skipped(log_offset offset);
+    void apply_record(const platform::keyed_record& record);
+    void record_call_result(bool has_succeeded);
+    void log_wait_timeout() const;
+    void report_skipped(log_offset offset);
 
     gateway_state& m_state;
     std::string m_topic;
     topic_listing m_listing;
-    topic_events m_events;
+    topic_callbacks m_callbacks;
     http_caller m_caller;
     async_event m_wake;
     std::map<std::string, platform::keyed_record> m_records;
     log_offset m_next;
-    log_offset m_heard_end; ///< up to which readers have told of records
+    log_offset
+        m_announced_end; ///< end of the records that readers have announced
     record_origin m_origin = record_origin::store;
     bool m_has_listed = false;
-    bool m_was_reached = false;
+    bool m_was_reachable = false;
     bool m_is_tailing = false;
     int m_failures = 0;
-    monotonic::time_point m_answered_at{};
-    monotonic::time_point m_asked_at{};
-    monotonic::time_point m_told_at{}; ///< by a peer that reads for others
-    monotonic::time_point m_known_at{};
-    /// Since when something is missing of what they told.
+    monotonic::time_point m_responded_at{};
+    monotonic::time_point m_requested_at{};
+    monotonic::time_point m_last_report_at{}; ///< of a reader of the hall
+    monotonic::time_point m_complete_as_of{};
+    /// When the current gap to the announced records was first seen.
     std::optional<monotonic::time_point> m_gap_since;
 };
 
--- a/services/gateway/topic_list.cpp
+++ b/services/gateway/topic_list.cpp
@@ -9,26 +9,27 @@
 namespace daleshelf
 {
 
-awaitable<bool> topic_listing::go_on(http_caller& caller,
-                                     milliseconds page_time)
+awaitable<bool> topic_listing::fetch_remaining(http_caller& caller,
+                                               milliseconds page_timeout)
 {
-    while (!m_is_whole)
+    while (!m_is_complete)
     {
-        if (m_after.empty())
+        if (m_last_key.empty())
         {
-            m_listed.asked_at = monotonic::now();
+            m_listed.requested_at = monotonic::now();
         }
-        auto call = platform::list_call(m_topic, m_after);
-        const auto answer = co_await caller.call(std::move(call), page_time);
-        if (!answer || answer->status != http_status::ok)
+        auto call = platform::list_call(m_topic, m_last_key);
+        const auto response =
+            co_await caller.call(std::move(call), page_timeout);
+        if (!response || response->status != http_status::ok)
         {
             co_return false;
         }
         try
         {
-            const bool is_taken =
-                take_page(platform::read_newest(answer->body));
-            if (!is_taken)
+            const bool is_added =
+                add_page(platform::read_newest(response->body));
+            if (!is_added)
             {
                 co_return false;
             }
@@ -43,41 +44,44 @@
     co_return true;
 }
 
-// @return whether the list can go on after the page
-bool topic_listing::take_page(platform::newest_page page)
+// @return whether the list is complete or the next page can be requested
+bool topic_listing::add_page(platform::newest_page page)
 {
-    const bool names_next = !page.last_key.empty() && page.last_key != m_after;
-    if (page.has_more && !names_next)
+    const bool has_next_key =
+        !page.last_key.empty() && page.last_key != m_last_key;
+    if (page.has_more && !has_next_key)
     {
-        // No record of it says where the next page begins.
+        // The page names no key from which the next page could continue.
         (void)take();
         return false;
     }
-    if (m_after.empty())
+    if (m_last_key.empty())
     {
         m_listed.end = page.end;
     }
     m_listed.skipped += page.skipped;
     std::move(page.records.begin(), page.records.end(),
               std::back_inserter(m_listed.records));
-    m_after = page.last_key;
-    m_is_whole = !page.has_more;
+    m_last_key = page.last_key;
+    m_is_complete = !page.has_more;
     return true;
 }
 
 listed_topic topic_listing::take()
 {
-    m_after.clear();
-    m_is_whole = false;
+    m_last_key.clear();
+    m_is_complete = false;
     return std::exchange(m_listed, {});
 }
 
-awaitable<std::optional<listed_topic>>
-list_topic(http_caller& caller, std::string topic, milliseconds answer_time)
+awaitable<std::optional<listed_topic>> list_topic(http_caller& caller,
+                                                  std::string topic,
+                                                  milliseconds response_timeout)
 {
     topic_listing listing(std::move(topic));
-    const bool is_whole = co_await listing.go_on(caller, answer_time);
-    if (!is_whole)
+    const bool is_complete =
+        co_await listing.fetch_remaining(caller, response_timeout);
+    if (!is_complete)
     {
         co_return std::nullopt;
     }
--- a/services/gateway/topic_sharing.cpp
+++ b/services/gateway/topic_sharing.cpp
@@ -12,20 +12,22 @@
 namespace
 {
 
-// What is read goes in parts of about this size; packed, they are 3 KB, or two
-// packets of a link.
-constexpr std::size_t largest_part = 32768;
-// A larger record is left to the store: to 57 hosts of a hall it would fill a
-// link of 20 Mbit/s for longer than the store takes to answer them all.
-constexpr std::size_t largest_record = 16384;
-// Whoever does not know the others after this time goes on without them; a host
-// that is new in the list knows them after 1.6 s.
-constexpr absl::Duration most_start_time = absl::Milliseconds(2500);
-// What is told goes out at 20 Mbit/s, the link of a small host: told at once,
-// 0.7 MB to 57 hosts did not arrive, and 285 hosts asked the store instead.
-constexpr std::size_t bytes_at_once = 65536;
-constexpr milliseconds pause_between{25};
-constexpr milliseconds fetch_time{1000};
+// Records are sent in parts of about this size; compressed, a part is 3 KB, or
+// two packets.
+constexpr std::size_t max_part_size = 32768;
+// A larger encoded part is not sent, and followers read it from the store: sent
+// to the 57 hosts of a hall, it would fill a link of 20 Mbit/s for longer than
+// the store takes to serve them all.
+constexpr std::size_t max_encoded_size = 16384;
+// A host that has not read the list of hosts after this time continues without
+// it; a host that is new in the list has read it after 1.6 s.
+constexpr absl::Duration max_start_time = absl::Milliseconds(2500);
+// Records are sent at 20 Mbit/s, the bandwidth of a small host's link. Without
+// this limit, 0.7 MB sent to 57 hosts at once does not arrive, and 285 hosts
+// call the store instead.
+constexpr std::size_t burst_bytes = 65536;
+constexpr milliseconds burst_pause{25};
+constexpr milliseconds fetch_timeout{1000};
 constexpr std::string_view records_target = "/records/";
 
 shared_record to_shared(const platform::keyed_record& record)
@@ -45,7 +47,7 @@
     return shared;
 }
 
-// A record without a value says that its key is dropped.
+// An empty value marks a deleted key.
 std::vector<platform::keyed_record>
 from_shared(const std::vector<shared_record>& records)
 {
@@ -74,14 +76,14 @@
     const auto now = gateway_state::now();
     m_first_chosen_at = std::min(m_first_chosen_at, now);
     const bool is_starting =
-        !m_state.knows_hosts && now - m_first_chosen_at < most_start_time;
+        !m_state.knows_hosts && now - m_first_chosen_at < max_start_time;
     if (is_starting || m_table.sends_to_all_peers())
     {
         m_state.role = is_starting ? list_role::starting : list_role::alone;
         return;
     }
     m_state.role = list_role::follower;
-    const bool reaches_store = m_topics.configuration.is_reached();
+    const bool reaches_store = m_topics.configuration.is_store_reachable();
     for (const auto& reader :
          m_table.readers_of(m_state.hall, reaches_store, now))
     {
@@ -90,25 +92,27 @@
             m_state.role = list_role::reader;
         }
     }
-    tell_nothing_newer();
+    announce_end();
 }
 
-// One topic at a time: two readers each tell of both twice a second.
-void topic_sharing::tell_nothing_newer()
+// Announces that there are no newer records, of one topic at a time: each of
+// two readers announces each topic twice a second.
+void topic_sharing::announce_end()
 {
-    m_tells_of_servers = !m_tells_of_servers;
+    m_announces_servers = !m_announces_servers;
     const auto& follower =
-        m_tells_of_servers ? m_topics.servers : m_topics.configuration;
+        m_announces_servers ? m_topics.servers : m_topics.configuration;
     const auto topic =
-        m_tells_of_servers ? platform::server_topic : platform::operator_topic;
-    // Not before what is newer has gone out: it would look like a gap.
-    if (follower.is_fresh() && m_tellings == 0)
+        m_announces_servers ? platform::server_topic : platform::operator_topic;
+    // The end is not announced while newer records are still being sent: it
+    // would look like a gap.
+    if (follower.is_fresh() && m_pending_sends == 0)
     {
-        tell_read(std::string(topic), follower.next(), {});
+        share_records(std::string(topic), follower.next(), {});
     }
 }
 
-void topic_sharing::tell_read(
+void topic_sharing::share_records(
     const std::string& topic, log_offset from,
     const std::vector<platform::keyed_record>& records)
 {
@@ -116,39 +120,39 @@
     {
         return;
     }
-    auto parts = split_records(topic, from, to_shared(records), largest_part);
+    auto parts = split_records(topic, from, to_shared(records), max_part_size);
     asio::co_spawn(
         m_state.context,
         [this, parts = std::move(parts)]() mutable
-        { return tell_parts(std::move(parts)); },
+        { return send_parts(std::move(parts)); },
         asio::detached);
 }
 
-awaitable<void> topic_sharing::tell_parts(std::vector<shared_records> parts)
+awaitable<void> topic_sharing::send_parts(std::vector<shared_records> parts)
 {
-    ++m_tellings;
+    ++m_pending_sends;
     std::size_t sent_bytes = 0;
     for (const auto& part : parts)
     {
         const auto bytes = encode(part);
-        if (bytes.size() > largest_record)
+        if (bytes.size() > max_encoded_size)
         {
-            // What follows shows those that wait that something is missing.
+            // The next part or announcement shows followers the gap.
             continue;
         }
         for (const auto& address : addresses_in_hall())
         {
             m_send(address, bytes);
             sent_bytes += bytes.size();
-            if (sent_bytes >= bytes_at_once)
+            if (sent_bytes >= burst_bytes)
             {
                 sent_bytes = 0;
-                boot_timer timer(m_state.context, pause_between);
+                boot_timer timer(m_state.context, burst_pause);
                 co_await timer.async_wait(use_result);
             }
         }
     }
-    --m_tellings;
+    --m_pending_sends;
 }
 
 std::vector<std::string> topic_sharing::addresses_in_hall() const
@@ -164,14 +168,15 @@
     return addresses;
 }
 
-void topic_sharing::take_read(const shared_records& read)
+void topic_sharing::receive_records(const shared_records& read)
 {
-    auto* follower = topic_named(read.topic);
+    auto* follower = find_topic(read.topic);
     if (follower == nullptr)
     {
         return;
     }
-    follower->take_read(read.from, from_shared(read.records), monotonic::now());
+    follower->apply_shared_records(read.from, from_shared(read.records),
+                                   monotonic::now());
 }
 
 awaitable<void> topic_sharing::fetch_from(std::string address,
@@ -179,33 +184,35 @@
 {
     http_caller caller(m_state.context, address);
     platform::store_call call{"GET", concat(records_target, topic), "", ""};
-    const auto answer = co_await caller.call(std::move(call), fetch_time);
+    const auto response = co_await caller.call(std::move(call), fetch_timeout);
     m_is_fetching = false;
-    if (!answer || answer->status != http_status::ok)
+    if (!response || response->status != http_status::ok)
     {
         co_return;
     }
-    const auto shared = decode_shared_records(answer->body);
-    auto* follower = topic_named(topic);
+    const auto shared = decode_shared_records(response->body);
+    auto* follower = find_topic(topic);
     if (!shared || follower == nullptr)
     {
         co_return;
     }
-    const auto news =
+    const auto new_records =
         follower->merge(from_shared(shared->records), shared->next);
-    log(events::records_from_peer,
-        {{"topic", topic}, {"peer", address}, {"news", std::to_string(news)}});
+    log(events::records_from_peer, {{"topic", topic},
+                                    {"peer", address},
+                                    {"news", std::to_string(new_records)}});
 }
 
-// Fetches what a peer has known for a while and the store has not told.
-void topic_sharing::fetch_news()
+// Fetches records that a peer has known for a while and that have not been
+// received from the store.
+void topic_sharing::fetch_newer_records()
 {
     const topic_positions own{
         m_state.routes ? m_state.routes->configuration().version : 0,
         m_topics.servers.next()};
     const auto now = gateway_state::now();
     const auto source = m_table.source_of_newer_records(own, now);
-    if (m_is_fetching || !m_patience.has_elapsed(own, source, now))
+    if (m_is_fetching || !m_fetch_delay.has_elapsed(own, source, now))
     {
         return;
     }
@@ -220,14 +227,14 @@
         asio::detached);
 }
 
-short_answer topic_sharing::answer(const std::string& target)
+short_answer topic_sharing::respond(const std::string& target)
 {
     if (!target.starts_with(records_target))
     {
         return {http_status::not_found, "", "text/plain"};
     }
     const auto name = target.substr(records_target.size());
-    const auto* follower = topic_named(name);
+    const auto* follower = find_topic(name);
     if (follower == nullptr)
     {
         return {http_status::not_found, "", "text/plain"};
@@ -242,7 +249,7 @@
     return {http_status::ok, encode(shared), "application/octet-stream"};
 }
 
-topic_follower* topic_sharing::topic_named(const std::string& name)
+topic_follower* topic_sharing::find_topic(const std::string& name)
 {
     if (name == platform::operator_topic)
     {
--- a/services/gateway/topic_sharing.hpp
+++ b/services/gateway/topic_sharing.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Records of the store that gateways hand to one another.
+/// Exchange of the store's records between gateways.
 #pragma once
 
 #include "gateway_state.hpp"
@@ -14,15 +14,16 @@
 namespace daleshelf
 {
 
-/// The topics that a gateway hands to peers which the store turns away.
+/// The topics that a gateway serves to peers which cannot read the store.
 struct followed_topics
 {
     topic_follower& configuration;
     topic_follower& servers;
 };
 
-/// Hands records on: two machines of a hall read the list of servers for the
-/// others, and what the store does not give is fetched from a peer that has it.
+/// Shares records of the store: two hosts of a hall read its topics for the
+/// other hosts, and records that the store does not return are fetched from a
+/// peer that has them.
 class topic_sharing
 {
 public:
@@ -32,42 +33,50 @@
     topic_sharing(gateway_state& state, followed_topics topics,
                   const peer_table& table, sender send);
 
-    /// Finds whether this machine reads the list for its hall.
+    /// Determines whether this host reads the store for its hall, and announces
+    /// the end of a topic if it does.
     void choose_role();
 
-    /// Tells the machines of this hall what has just been read from the store.
-    void tell_read(const std::string& topic, log_offset from,
-                   const std::vector<platform::keyed_record>& records);
+    /// Sends records that were just read from the store to the hosts of this
+    /// hall, if this host is a reader.
+    /// @param topic name of the topic
+    /// @param from offset of the first record
+    /// @param records consecutive records; empty announces that there are none
+    /// from `from` on
+    void share_records(const std::string& topic, log_offset from,
+                       const std::vector<platform::keyed_record>& records);
 
-    /// Takes what a reader of this hall has told.
-    void take_read(const shared_records& read);
+    /// Applies records that a reader of this hall has sent.
+    void receive_records(const shared_records& read);
 
-    /// Fetches what a peer has known for a while and the store has not told.
-    void fetch_news();
+    /// Fetches records that a peer has known for a while and that have not been
+    /// received from the store.
+    void fetch_newer_records();
 
-    /// @return the records of the topic that a peer asks for
-    [[nodiscard]] short_answer answer(const std::string& target);
+    /// @param target target of a peer's request, with the name of a topic
+    /// @return the response: all records known of the topic, or status 404
+    [[nodiscard]] short_answer respond(const std::string& target);
 
 private:
-    /// How long a peer may know a record before it is asked for it: the store
-    /// and the readers are faster.
-    static constexpr absl::Duration patience = absl::Milliseconds(350);
+    /// How long a peer must have known newer records before they are fetched
+    /// from it: the store and the readers are normally faster.
+    static constexpr absl::Duration peer_fetch_delay = absl::Milliseconds(350);
 
-    void tell_nothing_newer();
-    awaitable<void> tell_parts(std::vector<shared_records> parts);
+    void announce_end();
+    awaitable<void> send_parts(std::vector<shared_records> parts);
     [[nodiscard]] std::vector<std::string> addresses_in_hall() const;
     awaitable<void> fetch_from(std::string address, std::string topic);
-    [[nodiscard]] topic_follower* topic_named(const std::string& name);
+    [[nodiscard]] topic_follower* find_topic(const std::string& name);
 
     gateway_state& m_state;
     followed_topics m_topics;
     const peer_table& m_table;
     sender m_send;
-    fetch_delay m_patience{patience};
+    fetch_delay m_fetch_delay{peer_fetch_delay};
     absl::Time m_first_chosen_at = absl::InfiniteFuture();
-    int m_tellings = 0; ///< that are on their way
+    int m_pending_sends = 0; ///< calls of `send_parts` in progress
     bool m_is_fetching = false;
-    bool m_tells_of_servers = false; ///< last; else of the configuration
+    bool m_announces_servers = false; ///< last; else the configuration
 };
 
 } // namespace daleshelf
--- a/tests/gateway/topic_follower_test.cpp
+++ b/tests/gateway/topic_follower_test.cpp
@@ -54,13 +54,13 @@
 TEST_F(topic_follower_test, a_call_that_hangs_is_given_up_within_the_drain_time)
 {
     constexpr milliseconds drain_time{2000};
-    EXPECT_LT(topic_follower::tail_wait + topic_follower::tail_answer_time,
+    EXPECT_LT(topic_follower::tail_wait + topic_follower::tail_response_margin,
               drain_time - milliseconds(300));
 }
 
 TEST_F(topic_follower_test, takes_what_follows_on_what_it_knows)
 {
-    m_follower.take_read(
+    m_follower.apply_shared_records(
         log_offset(4),
         {record_at(4, "b", "2"), record_at(5, "a", std::nullopt)}, at(0));
     EXPECT_EQ(m_taken, (std::vector<std::string>{"b", "a"}));
@@ -70,7 +70,7 @@
 
 TEST_F(topic_follower_test, takes_only_the_newer_part_of_what_overlaps)
 {
-    m_follower.take_read(
+    m_follower.apply_shared_records(
         log_offset(3), {record_at(3, "a", "1"), record_at(4, "b", "2")}, at(0));
     EXPECT_EQ(m_taken, std::vector<std::string>{"b"});
     EXPECT_EQ(m_follower.next(), log_offset(5));
@@ -78,7 +78,8 @@
 
 TEST_F(topic_follower_test, takes_nothing_after_a_gap)
 {
-    m_follower.take_read(log_offset(5), {record_at(5, "b", "2")}, at(0));
+    m_follower.apply_shared_records(log_offset(5), {record_at(5, "b", "2")},
+                                    at(0));
     EXPECT_TRUE(m_taken.empty());
     EXPECT_EQ(m_follower.next(), log_offset(4));
 }
@@ -87,24 +88,24 @@
 // overtaken by, is no reason for 285 hosts to ask the store.
 TEST_F(topic_follower_test, asks_the_store_for_what_the_next_words_do_not_bring)
 {
-    EXPECT_FALSE(m_follower.take_read(log_offset(6), {}, at(0)));
-    EXPECT_FALSE(m_follower.take_read(log_offset(6), {}, at(200)));
-    EXPECT_TRUE(m_follower.take_read(log_offset(6), {}, at(300)));
+    EXPECT_FALSE(m_follower.apply_shared_records(log_offset(6), {}, at(0)));
+    EXPECT_FALSE(m_follower.apply_shared_records(log_offset(6), {}, at(200)));
+    EXPECT_TRUE(m_follower.apply_shared_records(log_offset(6), {}, at(300)));
     // Asked once for each gap that lasts.
-    EXPECT_FALSE(m_follower.take_read(log_offset(6), {}, at(400)));
-    EXPECT_TRUE(m_follower.take_read(log_offset(6), {}, at(700)));
+    EXPECT_FALSE(m_follower.apply_shared_records(log_offset(6), {}, at(400)));
+    EXPECT_TRUE(m_follower.apply_shared_records(log_offset(6), {}, at(700)));
 }
 
 TEST_F(topic_follower_test,
        does_not_ask_the_store_for_what_comes_a_little_later)
 {
-    EXPECT_FALSE(
-        m_follower.take_read(log_offset(5), {record_at(5, "c", "3")}, at(0)));
-    EXPECT_FALSE(m_follower.take_read(
+    EXPECT_FALSE(m_follower.apply_shared_records(
+        log_offset(5), {record_at(5, "c", "3")}, at(0)));
+    EXPECT_FALSE(m_follower.apply_shared_records(
         log_offset(4), {record_at(4, "b", "2"), record_at(5, "c", "3")},
         at(200)));
     EXPECT_EQ(m_follower.next(), log_offset(6));
-    EXPECT_FALSE(m_follower.take_read(log_offset(7), {}, at(900)));
+    EXPECT_FALSE(m_follower.apply_shared_records(log_offset(7), {}, at(900)));
 }
 
 // Two hosts of 86 served by a configuration that had been replaced 3.1 s
@@ -114,16 +115,16 @@
 TEST_F(topic_follower_test,
        a_word_that_knows_less_is_no_word_of_what_is_missing)
 {
-    EXPECT_FALSE(m_follower.take_read(log_offset(6), {}, at(0)));
-    const auto known_at = m_follower.known_at();
-    EXPECT_FALSE(m_follower.take_read(log_offset(4), {}, at(150)));
-    EXPECT_TRUE(m_follower.take_read(log_offset(6), {}, at(300)));
-    EXPECT_FALSE(m_follower.take_read(log_offset(4), {}, at(400)));
-    EXPECT_EQ(m_follower.known_at(), known_at);
-    m_follower.take_read(log_offset(4),
-                         {record_at(4, "b", "2"), record_at(5, "a", "3")},
-                         at(500));
-    EXPECT_GT(m_follower.known_at(), known_at);
+    EXPECT_FALSE(m_follower.apply_shared_records(log_offset(6), {}, at(0)));
+    const auto known_at = m_follower.complete_as_of();
+    EXPECT_FALSE(m_follower.apply_shared_records(log_offset(4), {}, at(150)));
+    EXPECT_TRUE(m_follower.apply_shared_records(log_offset(6), {}, at(300)));
+    EXPECT_FALSE(m_follower.apply_shared_records(log_offset(4), {}, at(400)));
+    EXPECT_EQ(m_follower.complete_as_of(), known_at);
+    m_follower.apply_shared_records(
+        log_offset(4), {record_at(4, "b", "2"), record_at(5, "a", "3")},
+        at(500));
+    EXPECT_GT(m_follower.complete_as_of(), known_at);
 }
 
 /// A follower that runs, before a store that counts who comes.
@@ -183,7 +184,7 @@
     }
     ASSERT_GE(m_store.connections(), 2) << "it asks again";
     EXPECT_FALSE(m_follower.is_fresh());
-    EXPECT_FALSE(m_follower.is_reached());
+    EXPECT_FALSE(m_follower.is_store_reachable());
 }
 
 // The readers of a hall were turned away by the store without a word, so that
@@ -206,14 +207,14 @@
         m_context.run_for(milliseconds(10));
     }
     EXPECT_GE(m_store.connections(), 2) << "it asks again";
-    EXPECT_FALSE(m_follower.is_reached());
+    EXPECT_FALSE(m_follower.is_store_reachable());
 }
 
 TEST_F(running_follower_test, asks_nothing_while_readers_tell_it)
 {
     m_state.role = list_role::follower;
-    EXPECT_FALSE(m_follower.is_reached());
-    m_follower.take_read(log_offset(4), {}, monotonic::now());
+    EXPECT_FALSE(m_follower.is_store_reachable());
+    m_follower.apply_shared_records(log_offset(4), {}, monotonic::now());
     m_context.run_for(milliseconds(250));
     EXPECT_EQ(m_store.connections(), 0);
     // Nobody tells it any more.
@@ -223,7 +224,7 @@
 // One record of another writer ended the following of its whole topic.
 TEST_F(topic_follower_test, goes_on_past_a_record_that_cannot_be_read)
 {
-    m_follower.take_read(
+    m_follower.apply_shared_records(
         log_offset(4), {record_at(4, "", std::nullopt), record_at(5, "b", "2")},
         at(0));
     EXPECT_EQ(m_taken, std::vector<std::string>{"b"});
@@ -233,14 +234,15 @@
 
 TEST_F(topic_follower_test, word_that_there_is_nothing_newer_changes_nothing)
 {
-    EXPECT_FALSE(m_follower.take_read(log_offset(4), {}, at(0)));
+    EXPECT_FALSE(m_follower.apply_shared_records(log_offset(4), {}, at(0)));
     EXPECT_TRUE(m_taken.empty());
     EXPECT_EQ(m_follower.next(), log_offset(4));
 }
 
 TEST_F(topic_follower_test, takes_nothing_older)
 {
-    m_follower.take_read(log_offset(1), {record_at(1, "z", "0")}, at(0));
+    m_follower.apply_shared_records(log_offset(1), {record_at(1, "z", "0")},
+                                    at(0));
     EXPECT_TRUE(m_taken.empty());
     EXPECT_EQ(m_follower.next(), log_offset(4));
 }
