--- a/tests/gateway/topic_follower_test.cpp
+++ b/tests/gateway/topic_follower_test.cpp
@@ -29,7 +29,7 @@
     return monotonic::time_point(milliseconds(100000 + ms));
 }
 
-// What a follower takes from peers; the store is never asked.
+/// A follower that receives records from peers; it never calls the store.
 class topic_follower_test : public testing::Test
 {
 protected:
@@ -37,20 +37,21 @@
         : m_state(m_context, make_settings())
         , m_follower(m_state, "topic",
                      {[this](const auto& record)
-                      { m_taken.push_back(record.key); },
+                      { m_applied.push_back(record.key); },
                       [](const auto&) {}})
     {
         m_follower.merge({record_at(3, "a", "1")}, log_offset(4));
-        m_taken.clear();
+        m_applied.clear();
     }
 
     asio::io_context m_context{1};
     gateway_state m_state;
-    std::vector<std::string> m_taken;
+    std::vector<std::string> m_applied;
     topic_follower m_follower;
 };
 
-// A server that leaves gets nothing new two seconds after its word.
+// An upstream that leaves must get no new requests two seconds after its
+// notice, so a call that hangs has to time out before that.
 TEST_F(topic_follower_test, a_call_that_hangs_is_given_up_within_the_drain_time)
 {
     constexpr milliseconds drain_time{2000};
@@ -63,7 +64,7 @@
     m_follower.apply_shared_records(
         log_offset(4),
         {record_at(4, "b", "2"), record_at(5, "a", std::nullopt)}, at(0));
-    EXPECT_EQ(m_taken, (std::vector<std::string>{"b", "a"}));
+    EXPECT_EQ(m_applied, (std::vector<std::string>{"b", "a"}));
     EXPECT_EQ(m_follower.next(), log_offset(6));
     EXPECT_FALSE(m_follower.records().contains("a"));
 }
@@ -72,7 +73,7 @@
 {
     m_follower.apply_shared_records(
         log_offset(3), {record_at(3, "a", "1"), record_at(4, "b", "2")}, at(0));
-    EXPECT_EQ(m_taken, std::vector<std::string>{"b"});
+    EXPECT_EQ(m_applied, std::vector<std::string>{"b"});
     EXPECT_EQ(m_follower.next(), log_offset(5));
 }
 
@@ -80,18 +81,19 @@
 {
     m_follower.apply_shared_records(log_offset(5), {record_at(5, "b", "2")},
                                     at(0));
-    EXPECT_TRUE(m_taken.empty());
+    EXPECT_TRUE(m_applied.empty());
     EXPECT_EQ(m_follower.next(), log_offset(4));
 }
 
-// Two readers tell the same four times a second: what one datagram lost, or was
-// overtaken by, is no reason for 285 hosts to ask the store.
-TEST_F(topic_follower_test, asks_the_store_for_what_the_next_words_do_not_bring)
+// Two readers send the same records, four times a second together, so that a
+// lost or reordered datagram does not make 285 hosts call the store. Only a gap
+// that lasts does.
+TEST_F(topic_follower_test, calls_the_store_when_later_reports_leave_a_gap)
 {
     EXPECT_FALSE(m_follower.apply_shared_records(log_offset(6), {}, at(0)));
     EXPECT_FALSE(m_follower.apply_shared_records(log_offset(6), {}, at(200)));
     EXPECT_TRUE(m_follower.apply_shared_records(log_offset(6), {}, at(300)));
-    // Asked once for each gap that lasts.
+    // The store is called once for each gap that lasts.
     EXPECT_FALSE(m_follower.apply_shared_records(log_offset(6), {}, at(400)));
     EXPECT_TRUE(m_follower.apply_shared_records(log_offset(6), {}, at(700)));
 }
@@ -108,26 +110,26 @@
     EXPECT_FALSE(m_follower.apply_shared_records(log_offset(7), {}, at(900)));
 }
 
-// Two hosts of 86 served by a configuration that had been replaced 3.1 s
-// before. A reader that is behind for a moment says that there is nothing
-// newer, while another one tells of more: such a word was taken for good by
-// whoever was as far behind, and each began the wait for what was missing anew.
-TEST_F(topic_follower_test,
-       a_word_that_knows_less_is_no_word_of_what_is_missing)
+// Guards against serving from a stale configuration: 2 of 86 hosts used one
+// that had been replaced 3.1 s before. A reader that lagged behind reported
+// that there was nothing newer, while another announced more records. Hosts
+// that lagged as far accepted that report, and each such report restarted the
+// gap's timeout.
+TEST_F(topic_follower_test, a_report_of_a_lagging_reader_does_not_close_a_gap)
 {
     EXPECT_FALSE(m_follower.apply_shared_records(log_offset(6), {}, at(0)));
-    const auto known_at = m_follower.complete_as_of();
+    const auto complete_as_of = m_follower.complete_as_of();
     EXPECT_FALSE(m_follower.apply_shared_records(log_offset(4), {}, at(150)));
     EXPECT_TRUE(m_follower.apply_shared_records(log_offset(6), {}, at(300)));
     EXPECT_FALSE(m_follower.apply_shared_records(log_offset(4), {}, at(400)));
-    EXPECT_EQ(m_follower.complete_as_of(), known_at);
+    EXPECT_EQ(m_follower.complete_as_of(), complete_as_of);
     m_follower.apply_shared_records(
         log_offset(4), {record_at(4, "b", "2"), record_at(5, "a", "3")},
         at(500));
-    EXPECT_GT(m_follower.complete_as_of(), known_at);
+    EXPECT_GT(m_follower.complete_as_of(), complete_as_of);
 }
 
-/// A follower that runs, before a store that counts who comes.
+/// A running follower and a store that counts connections but never responds.
 class running_follower_test : public testing::Test
 {
 protected:
@@ -150,7 +152,7 @@
         return settings;
     }
 
-    bool comes_to_the_store()
+    bool calls_the_store()
     {
         for (int step = 0; step < 2000 && m_store.connections() == 0; ++step)
         {
@@ -170,11 +172,11 @@
     m_context.run_for(milliseconds(250));
     EXPECT_EQ(m_store.connections(), 0);
     m_state.role = list_role::alone;
-    EXPECT_TRUE(comes_to_the_store());
+    EXPECT_TRUE(calls_the_store());
 }
 
-// A reader that the store has stopped answering in silence went on to tell its
-// hall that there was nothing newer each time that it asked again.
+// Guards against a reader whose calls to the store hang silently, but which
+// still reports to its hall, at each retry, that there are no newer records.
 TEST_F(running_follower_test, is_not_fresh_again_before_the_store_has_answered)
 {
     m_state.role = list_role::reader;
@@ -187,22 +189,25 @@
     EXPECT_FALSE(m_follower.is_store_reachable());
 }
 
-// The readers of a hall were turned away by the store without a word, so that
-// nobody told the others, who asked the store themselves. Some of their calls
-// for changes hung too, and each had 20.7 s: such a host heard of no server
-// that left, told its peers that it reached the store, and was chosen to read
-// for its hall. Two lines of such a hall:
+// Guards against long polls that hang. The store dropped the calls of a hall's
+// readers silently, so that these reported nothing and the other hosts called
+// the store themselves. Some of their long polls hung too, with a timeout of
+// 20.7 s: such a host missed upstreams that left, told its peers that it
+// reached the store, and was selected as a reader of its hall. Two log lines of
+// the hall:
 //
 // wait_given_up topic=keyed.servers waited_ms=4955 role=reader
 //
 // wait_given_up topic=keyed.op waited_ms=7889 role=follower
-TEST_F(running_follower_test, gives_up_a_call_that_hangs_when_nobody_tells_it)
+TEST_F(running_follower_test,
+       times_out_a_call_that_hangs_when_no_reader_reports)
 {
     m_state.role = list_role::follower;
-    ASSERT_TRUE(comes_to_the_store());
-    const auto asked_at = monotonic::now();
-    constexpr milliseconds patience{10000};
-    while (m_store.connections() < 2 && monotonic::now() - asked_at < patience)
+    ASSERT_TRUE(calls_the_store());
+    const auto requested_at = monotonic::now();
+    constexpr milliseconds retry_timeout{10000};
+    while (m_store.connections() < 2 &&
+           monotonic::now() - requested_at < retry_timeout)
     {
         m_context.run_for(milliseconds(10));
     }
@@ -210,32 +215,33 @@
     EXPECT_FALSE(m_follower.is_store_reachable());
 }
 
-TEST_F(running_follower_test, asks_nothing_while_readers_tell_it)
+TEST_F(running_follower_test, does_not_call_the_store_while_readers_report)
 {
     m_state.role = list_role::follower;
     EXPECT_FALSE(m_follower.is_store_reachable());
     m_follower.apply_shared_records(log_offset(4), {}, monotonic::now());
     m_context.run_for(milliseconds(250));
     EXPECT_EQ(m_store.connections(), 0);
-    // Nobody tells it any more.
-    EXPECT_TRUE(comes_to_the_store());
+    // The readers have stopped reporting.
+    EXPECT_TRUE(calls_the_store());
 }
 
-// One record of another writer ended the following of its whole topic.
+// Guards against one unreadable record of another writer that stops the
+// follower of its topic.
 TEST_F(topic_follower_test, goes_on_past_a_record_that_cannot_be_read)
 {
     m_follower.apply_shared_records(
         log_offset(4), {record_at(4, "", std::nullopt), record_at(5, "b", "2")},
         at(0));
-    EXPECT_EQ(m_taken, std::vector<std::string>{"b"});
+    EXPECT_EQ(m_applied, std::vector<std::string>{"b"});
     EXPECT_EQ(m_follower.next(), log_offset(6));
     EXPECT_EQ(m_state.skipped.total(), 1);
 }
 
-TEST_F(topic_follower_test, word_that_there_is_nothing_newer_changes_nothing)
+TEST_F(topic_follower_test, a_report_of_no_newer_records_changes_nothing)
 {
     EXPECT_FALSE(m_follower.apply_shared_records(log_offset(4), {}, at(0)));
-    EXPECT_TRUE(m_taken.empty());
+    EXPECT_TRUE(m_applied.empty());
     EXPECT_EQ(m_follower.next(), log_offset(4));
 }
 
@@ -243,14 +249,14 @@
 {
     m_follower.apply_shared_records(log_offset(1), {record_at(1, "z", "0")},
                                     at(0));
-    EXPECT_TRUE(m_taken.empty());
+    EXPECT_TRUE(m_applied.empty());
     EXPECT_EQ(m_follower.next(), log_offset(4));
 }
 
 TEST_F(topic_follower_test, an_older_list_of_a_peer_changes_nothing)
 {
     EXPECT_EQ(m_follower.merge({record_at(2, "z", "0")}, log_offset(3)), 0U);
-    EXPECT_TRUE(m_taken.empty());
+    EXPECT_TRUE(m_applied.empty());
     EXPECT_TRUE(m_follower.records().contains("a"));
 }
 
--- a/tests/gateway/topic_list_test.cpp
+++ b/tests/gateway/topic_list_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// A follower before a store that lists its topic page by page, or badly.
+/// Follower of a topic that the store lists in pages or with invalid records.
 
 #include "gateway_fixture.hpp"
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// A follower of its own store.
+/// A follower with its own scripted store.
 struct followed_store
 {
     explicit followed_store(scripted_server::script serve)
@@ -26,7 +26,8 @@
             context, [this] { return follower.run(); }, asio::detached);
     }
 
-    /// @return whether it held within ten seconds
+    /// @param holds condition to wait for
+    /// @return whether the condition became true within ten seconds
     template <typename Holds>
     bool run_until(Holds holds)
     {
@@ -52,14 +53,15 @@
     topic_follower follower;
 };
 
-std::string answer_with(const std::string& body)
+std::string make_response(const std::string& body)
 {
     return concat("HTTP/1.1 200 OK\r\nContent-Length: ", body.size(),
                   "\r\n\r\n", body);
 }
 
-/// @return a page of the log: its end, the first offset kept, and records
-std::string page_of(char end, const std::vector<std::string>& records)
+/// @return a page of the log: its end, the first retained offset (0) and
+/// records
+std::string make_page(char end, const std::vector<std::string>& records)
 {
     const std::string zeros(7, '\0');
     const auto body = platform::append_call("t", records, std::nullopt).body;
@@ -67,24 +69,24 @@
                   body);
 }
 
-// The store lists one record of another writer, and its tail has two.
+// Lists one invalid record of another writer, and returns two in the log.
 void serve_foreign_records(test_connection& connection)
 {
     const std::string listed(R"({"items":[{"privateKey":5},)"
                              R"({"privateKey":"a","value":"MQ==","offset":1}],)"
                              R"("more":false,"end":2})");
     const auto tail =
-        page_of(5, {"\xff", platform::encode_keyed("b", "2"), ""});
+        make_page(5, {"\xff", platform::encode_keyed("b", "2"), ""});
     for (auto request = connection.read_message(); !request.empty();
          request = connection.read_message())
     {
         if (request.find("/log-newest") != std::string::npos)
         {
-            connection.send(answer_with(listed));
+            connection.send(make_response(listed));
         }
         else if (request.find("from=2&") != std::string::npos)
         {
-            connection.send(answer_with(tail));
+            connection.send(make_response(tail));
         }
         else
         {
@@ -93,7 +95,8 @@
     }
 }
 
-// The list was asked for again and again, and nothing of the topic was known.
+// Guards against a follower that requests the list over and over because of an
+// invalid record, and knows nothing of the topic.
 TEST(foreign_records_test, end_neither_the_list_nor_the_tail_of_a_topic)
 {
     followed_store followed(serve_foreign_records);
@@ -105,12 +108,12 @@
     EXPECT_EQ(followed.state.skipped.total(), 3);
 }
 
-// The store gives a page on each connection, and then falls silent.
-void serve_a_page_each(test_connection& connection)
+// Returns one page on each connection, and then stops responding.
+void serve_page_per_connection(test_connection& connection)
 {
     const auto request = connection.read_message();
     const bool is_second = request.find("afterRevision=a") != std::string::npos;
-    connection.send(answer_with(
+    connection.send(make_response(
         is_second
             ? R"({"items":[{"privateKey":"b","value":"Mg==","offset":7}],)"
               R"("more":false,"end":9})"
@@ -119,17 +122,18 @@
     connection.read_all();
 }
 
-// 295 hosts that start together share what the store can read: a page may take
-// longer than its time, and then all of them began anew.
+// Guards against listing from the start again after a failed page: when 295
+// hosts start together and share the store's read capacity, any page may exceed
+// its timeout.
 TEST(list_in_pages_test, goes_on_where_a_page_failed)
 {
-    followed_store followed(serve_a_page_each);
+    followed_store followed(serve_page_per_connection);
     const auto& follower = followed.follower;
     EXPECT_TRUE(
         followed.run_until([&] { return !follower.records().empty(); }));
     EXPECT_TRUE(follower.records().contains("a"));
     EXPECT_TRUE(follower.records().contains("b"));
-    // What changed since the first page comes with the tail.
+    // Changes since the first page are read from the log.
     EXPECT_EQ(follower.next(), log_offset(2));
 }
 
