--- a/services/gateway/byte_channel.cpp
+++ b/services/gateway/byte_channel.cpp
@@ -10,14 +10,14 @@
 
 constexpr std::size_t read_size = 8192;
 // More than a head and a piece of a body; a peer that sends on waits.
-constexpr std::size_t most_input = 262144;
+constexpr std::size_t max_input = 262144;
 
 } // namespace
 
 byte_channel::byte_channel(asio::ip::tcp::socket socket)
     : m_socket(std::move(socket))
-    , m_arrived(m_socket.get_executor())
-    , m_drained(m_socket.get_executor())
+    , m_input_arrived(m_socket.get_executor())
+    , m_input_drained(m_socket.get_executor())
 {
     error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -28,7 +28,7 @@
 {
     asio::co_spawn(
         m_socket.get_executor(),
-        [self = shared_from_this()] { return self->read_all(); },
+        [self = shared_from_this()] { return self->read_loop(); },
         asio::detached);
 }
 
@@ -45,19 +45,19 @@
         m_input.erase(0, m_consumed);
         m_consumed = 0;
     }
-    if (m_input.size() < most_input)
+    if (m_input.size() < max_input)
     {
-        m_drained.notify();
+        m_input_drained.notify();
     }
 }
 
 awaitable<bool> byte_channel::wait_input(monotonic::time_point deadline)
 {
-    if (m_end != channel_end::open)
+    if (m_connection_state != channel_state::open)
     {
         co_return true;
     }
-    co_return co_await m_arrived.wait_until(deadline);
+    co_return co_await m_input_arrived.wait_until(deadline);
 }
 
 awaitable<byte_channel::write_result>
@@ -65,7 +65,7 @@
                     std::optional<monotonic::time_point> until)
 {
     write_result result;
-    if (m_end == channel_end::broken)
+    if (m_connection_state == channel_state::broken)
     {
         co_return result;
     }
@@ -75,7 +75,7 @@
         asio::const_buffer(bytes.data(), bytes.size()), error);
     if (error && error != asio::error::would_block)
     {
-        end_with(channel_end::broken);
+        change_state(channel_state::broken);
         co_return result;
     }
     if (result.size == bytes.size())
@@ -118,7 +118,7 @@
     result.is_complete = !error;
     if (error)
     {
-        end_with(channel_end::broken);
+        change_state(channel_state::broken);
     }
     co_return result;
 }
@@ -127,7 +127,7 @@
 {
     error_code ignored;
     m_socket.close(ignored);
-    end_with(channel_end::broken);
+    change_state(channel_state::broken);
 }
 
 void byte_channel::reset()
@@ -143,19 +143,19 @@
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
 }
 
-awaitable<void> byte_channel::read_all()
+awaitable<void> byte_channel::read_loop()
 {
     std::array<char, read_size> bytes; // NOLINT
-    while (m_end == channel_end::open)
+    while (m_connection_state == channel_state::open)
     {
-        if (m_input.size() >= most_input)
+        if (m_input.size() >= max_input)
         {
-            co_await m_drained.wait_for(std::chrono::seconds(1));
+            co_await m_input_drained.wait_for(std::chrono::seconds(1));
             continue;
         }
         const auto [error, size] = co_await m_socket.async_read_some(
             asio::mutable_buffer(bytes.data(), bytes.size()), use_result);
-        if (m_end != channel_end::open)
+        if (m_connection_state != channel_state::open)
         {
             // Closed while these bytes were on their way here: nobody could
             // answer the request that they may hold.
@@ -163,28 +163,29 @@
         }
         if (error)
         {
-            end_with(error == asio::error::eof ? channel_end::finished
-                                               : channel_end::broken);
+            change_state(error == asio::error::eof ? channel_state::finished
+                                                   : channel_state::broken);
             co_return;
         }
         m_input.append(bytes.data(), size);
-        m_arrived.notify();
+        m_input_arrived.notify();
     }
 }
 
-void byte_channel::end_with(channel_end end)
+void byte_channel::change_state(channel_state new_state)
 {
-    if (m_end == channel_end::broken || m_end == end)
+    if (m_connection_state == channel_state::broken ||
+        m_connection_state == new_state)
     {
         return;
     }
-    const bool was_open = m_end == channel_end::open;
-    m_end = end;
-    m_arrived.notify();
-    m_drained.notify();
-    if (was_open && m_end_handler)
+    const bool was_open = m_connection_state == channel_state::open;
+    m_connection_state = new_state;
+    m_input_arrived.notify();
+    m_input_drained.notify();
+    if (was_open && m_close_handler)
     {
-        m_end_handler();
+        m_close_handler();
     }
 }
 
--- a/services/gateway/byte_channel.hpp
+++ b/services/gateway/byte_channel.hpp
@@ -14,7 +14,7 @@
 {
 
 /// How a connection has ended.
-enum class channel_end
+enum class channel_state
 {
     open,
     finished, ///< the peer has closed it in order
@@ -69,22 +69,22 @@
     /// Tells the peer that nothing more comes, and goes on reading.
     void finish_sending();
 
-    [[nodiscard]] channel_end end() const
+    [[nodiscard]] channel_state connection_state() const
     {
-        return m_end;
+        return m_connection_state;
     }
 
     /// @return whether the connection is open and has brought nothing unread,
     /// as it must be before the next message
-    [[nodiscard]] bool is_quiet() const
+    [[nodiscard]] bool is_idle() const
     {
-        return m_end == channel_end::open && input().empty();
+        return m_connection_state == channel_state::open && input().empty();
     }
 
     /// Called once when the connection has ended, while it is being read.
-    void set_end_handler(std::function<void()> handler)
+    void set_close_handler(std::function<void()> handler)
     {
-        m_end_handler = std::move(handler);
+        m_close_handler = std::move(handler);
     }
 
     [[nodiscard]] asio::ip::tcp::socket& socket()
@@ -99,19 +99,19 @@
     }
 
 private:
-    awaitable<void> read_all();
+    awaitable<void> read_loop();
     awaitable<write_result>
     write_rest(std::string_view bytes,
                std::optional<monotonic::time_point> until);
-    void end_with(channel_end end);
+    void change_state(channel_state new_state);
 
     asio::ip::tcp::socket m_socket;
-    async_event m_arrived;
-    async_event m_drained;
+    async_event m_input_arrived;
+    async_event m_input_drained;
     std::string m_input;
     std::size_t m_consumed = 0;
-    channel_end m_end = channel_end::open;
-    std::function<void()> m_end_handler;
+    channel_state m_connection_state = channel_state::open;
+    std::function<void()> m_close_handler;
     std::optional<monotonic::time_point> m_writing_since;
 };
 
--- a/services/gateway/client_answer.cpp
+++ b/services/gateway/client_response.cpp
@@ -1,4 +1,4 @@
-#include "client_answer.hpp"
+#include "client_response.hpp"
 
 #include <wire/message_writer.hpp>
 
@@ -8,7 +8,7 @@
 namespace
 {
 
-bool is_framing(std::string_view name)
+bool is_framing_field(std::string_view name)
 {
     return same_name(name, "Content-Length") ||
            same_name(name, "Transfer-Encoding");
@@ -16,14 +16,14 @@
 
 } // namespace
 
-awaitable<bool> client_answer::send_whole(const response_head& head,
-                                          std::string body)
+awaitable<bool> client_response::send_complete(const response_head& head,
+                                               std::string body)
 {
     m_has_begun = true;
     m_status = head.status;
-    auto bytes = head_of(head);
+    auto bytes = build_head(head);
     const auto* length = head.fields.find("Content-Length");
-    if (m_form.takes_no_body && length != nullptr)
+    if (m_constraints.omits_body && length != nullptr)
     {
         write_field(bytes, "Content-Length", *length);
     }
@@ -36,7 +36,7 @@
     co_return co_await write(bytes);
 }
 
-awaitable<bool> client_answer::send_own(int status, std::string_view extra)
+awaitable<bool> client_response::send_local(int status, std::string_view extra)
 {
     m_has_begun = true;
     m_status = status;
@@ -44,7 +44,7 @@
     write_status_line(bytes, status, reason_phrase(status));
     bytes += extra;
     write_field(bytes, "Content-Length", "0");
-    if (!m_form.may_keep)
+    if (!m_constraints.allows_keep_alive)
     {
         write_field(bytes, "Connection", "close");
     }
@@ -52,17 +52,17 @@
     co_return co_await write(bytes);
 }
 
-awaitable<bool> client_answer::begin(const response_head& head,
-                                     std::string_view piece)
+awaitable<bool> client_response::begin(const response_head& head,
+                                       std::string_view piece)
 {
     m_has_begun = true;
     m_status = head.status;
-    if (!m_form.takes_chunks)
+    if (!m_constraints.allows_chunked)
     {
-        m_form.may_keep = false;
+        m_constraints.allows_keep_alive = false;
     }
-    auto bytes = head_of(head);
-    if (m_form.takes_chunks)
+    auto bytes = build_head(head);
+    if (m_constraints.allows_chunked)
     {
         write_field(bytes, "Transfer-Encoding", "chunked");
         write_head_end(bytes);
@@ -76,9 +76,9 @@
     co_return co_await write(bytes);
 }
 
-awaitable<bool> client_answer::add(std::string_view piece)
+awaitable<bool> client_response::append(std::string_view piece)
 {
-    if (!m_form.takes_chunks)
+    if (!m_constraints.allows_chunked)
     {
         co_return co_await write(piece);
     }
@@ -87,9 +87,9 @@
     co_return co_await write(bytes);
 }
 
-awaitable<bool> client_answer::finish()
+awaitable<bool> client_response::finish()
 {
-    if (!m_form.takes_chunks)
+    if (!m_constraints.allows_chunked)
     {
         co_return true;
     }
@@ -98,10 +98,10 @@
     co_return co_await write(bytes);
 }
 
-void client_answer::break_off()
+void client_response::abort()
 {
-    m_form.may_keep = false;
-    if (!m_form.takes_chunks)
+    m_constraints.allows_keep_alive = false;
+    if (!m_constraints.allows_chunked)
     {
         // Without framing, an orderly close would look like the answer's end.
         m_channel.reset();
@@ -110,26 +110,27 @@
     m_channel.close();
 }
 
-std::string client_answer::head_of(const response_head& head) const
+std::string client_response::build_head(const response_head& head) const
 {
     std::string bytes;
     write_status_line(bytes, head.status, head.reason);
     for (const auto& field : head.fields.fields)
     {
-        if (is_framing(field.name) || is_hop_by_hop(head.fields, field.name))
+        if (is_framing_field(field.name) ||
+            is_hop_by_hop(head.fields, field.name))
         {
             continue;
         }
         write_field(bytes, field.name, field.value);
     }
-    if (!m_form.may_keep)
+    if (!m_constraints.allows_keep_alive)
     {
         write_field(bytes, "Connection", "close");
     }
     return bytes;
 }
 
-awaitable<bool> client_answer::write(std::string_view bytes)
+awaitable<bool> client_response::write(std::string_view bytes)
 {
     const auto result = co_await m_channel.write(bytes);
     co_return result.is_complete;
--- a/services/gateway/client_answer.hpp
+++ b/services/gateway/client_response.hpp
@@ -12,40 +12,41 @@
 {
 
 /// What the client allows of its answer's form.
-struct client_form
+struct response_constraints
 {
-    bool may_keep = true;       ///< its connection may be used again
-    bool takes_chunks = true;   ///< it speaks HTTP/1.1
-    bool takes_no_body = false; ///< it has sent HEAD
+    bool allows_keep_alive = true; ///< its connection may be used again
+    bool allows_chunked = true;    ///< it speaks HTTP/1.1
+    bool omits_body = false;       ///< it has sent HEAD
 };
 
 /// Writes one answer to one client.
-class client_answer
+class client_response
 {
 public:
-    client_answer(byte_channel& channel, const client_form& form)
-        : m_channel(channel), m_form(form)
+    client_response(byte_channel& channel,
+                    const response_constraints& constraints)
+        : m_channel(channel), m_constraints(constraints)
     {
     }
 
     /// Sends a whole answer of a server.
-    awaitable<bool> send_whole(const response_head& head, std::string body);
+    awaitable<bool> send_complete(const response_head& head, std::string body);
 
     /// Sends an answer of the gateway's own.
     /// @param extra header fields, as bytes
-    awaitable<bool> send_own(int status, std::string_view extra);
+    awaitable<bool> send_local(int status, std::string_view extra);
 
     /// Begins an answer that comes in pieces.
     awaitable<bool> begin(const response_head& head, std::string_view piece);
 
     /// Sends the next piece.
-    awaitable<bool> add(std::string_view piece);
+    awaitable<bool> append(std::string_view piece);
 
     /// Ends an answer that came in pieces.
     awaitable<bool> finish();
 
     /// Ends the connection so that the answer shows as incomplete.
-    void break_off();
+    void abort();
 
     [[nodiscard]] bool has_begun() const
     {
@@ -53,14 +54,14 @@
     }
 
     /// @return whether the next request may come on the same connection
-    [[nodiscard]] bool keeps_connection() const
+    [[nodiscard]] bool keeps_alive() const
     {
-        return m_form.may_keep;
+        return m_constraints.allows_keep_alive;
     }
 
-    void set_may_keep(bool may_keep)
+    void set_allows_keep_alive(bool allows_keep_alive)
     {
-        m_form.may_keep = may_keep;
+        m_constraints.allows_keep_alive = allows_keep_alive;
     }
 
     [[nodiscard]] int status() const
@@ -69,11 +70,11 @@
     }
 
 private:
-    std::string head_of(const response_head& head) const;
+    std::string build_head(const response_head& head) const;
     awaitable<bool> write(std::string_view bytes);
 
     byte_channel& m_channel;
-    client_form m_form;
+    response_constraints m_constraints;
     bool m_has_begun = false;
     int m_status = 0;
 };
--- a/services/gateway/client_session.cpp
+++ b/services/gateway/client_session.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-constexpr std::chrono::seconds longest_write{20};
-constexpr milliseconds time_to_read_refusal{300};
+constexpr std::chrono::seconds max_write_time{20};
+constexpr milliseconds linger_time{300};
 
 int status_of(parse_fault fault)
 {
@@ -46,7 +46,7 @@
 awaitable<void> client_session::run()
 {
     const auto self = shared_from_this();
-    m_channel->set_end_handler(
+    m_channel->set_close_handler(
         [this]
         {
             if (m_flow != nullptr)
@@ -55,7 +55,7 @@
             }
         });
     m_channel->start();
-    while (m_channel->end() == channel_end::open)
+    while (m_channel->connection_state() == channel_state::open)
     {
         client_request request;
         const bool is_read = co_await read_request(request);
@@ -69,7 +69,7 @@
             break;
         }
     }
-    m_channel->set_end_handler(nullptr);
+    m_channel->set_close_handler(nullptr);
     m_channel->close();
 }
 
@@ -81,10 +81,10 @@
     }
 }
 
-void client_session::close_if_stuck(monotonic::time_point now)
+void client_session::close_if_stalled(monotonic::time_point now)
 {
     const auto since = m_channel->writing_since();
-    if (since && now - *since > longest_write)
+    if (since && now - *since > max_write_time)
     {
         m_channel->close();
     }
@@ -138,7 +138,7 @@
             error = caught;
             continue;
         }
-        if (m_channel->end() != channel_end::open)
+        if (m_channel->connection_state() != channel_state::open)
         {
             co_return false;
         }
@@ -156,53 +156,54 @@
             deadline = monotonic::now() + limits.idle_timeout;
         }
     }
-    co_await reject_unread(*error);
+    co_await reject_unreadable(*error);
     co_return false;
 }
 
 // @return whether the connection goes on
 awaitable<bool> client_session::serve(client_request request)
 {
-    client_form form;
-    form.takes_chunks = request.head.version >= http_1_1;
-    form.may_keep =
+    response_constraints constraints;
+    constraints.allows_chunked = request.head.version >= http_1_1;
+    constraints.allows_keep_alive =
         keeps_connection(request.head.fields, request.head.version) &&
         !m_state.is_stopping;
-    form.takes_no_body = request.head.method == "HEAD";
-    client_answer answer(*m_channel, form);
+    constraints.omits_body = request.head.method == "HEAD";
+    client_response response(*m_channel, constraints);
     {
-        request_flow flow(m_state, answer, std::move(request));
+        request_flow flow(m_state, response, std::move(request));
         m_flow = &flow;
         co_await flow.run();
         m_flow = nullptr;
     }
-    if (!answer.keeps_connection() && m_channel->end() == channel_end::open)
+    if (!response.keeps_alive() &&
+        m_channel->connection_state() == channel_state::open)
     {
         m_channel->finish_sending();
-        co_await m_channel->wait_input(monotonic::now() + time_to_read_refusal);
+        co_await m_channel->wait_input(monotonic::now() + linger_time);
     }
-    co_return answer.keeps_connection();
+    co_return response.keeps_alive();
 }
 
 awaitable<void> client_session::reject(int status)
 {
-    client_form form;
-    form.may_keep = false;
-    client_answer answer(*m_channel, form);
-    co_await answer.send_own(status, "");
+    response_constraints constraints;
+    constraints.allows_keep_alive = false;
+    client_response response(*m_channel, constraints);
+    co_await response.send_local(status, "");
 }
 
 // Answers a request that cannot be read. What else comes is read and dropped
 // for a moment: closing with unread bytes would reset the answer away.
-awaitable<void> client_session::reject_unread(const parse_error& error)
+awaitable<void> client_session::reject_unreadable(const parse_error& error)
 {
     const auto status = status_of(error.fault());
     log(events::request_unreadable,
         {{"status", std::to_string(status)}, {"fault", error.what()}});
     co_await reject(status);
     m_channel->finish_sending();
-    const auto until = monotonic::now() + time_to_read_refusal;
-    while (m_channel->end() == channel_end::open)
+    const auto until = monotonic::now() + linger_time;
+    while (m_channel->connection_state() == channel_state::open)
     {
         m_channel->consume(m_channel->input().size());
         const bool has_input = co_await m_channel->wait_input(until);
--- a/services/gateway/client_session.hpp
+++ b/services/gateway/client_session.hpp
@@ -24,7 +24,7 @@
     void close_if_idle();
 
     /// Ends the connection if its client has not taken bytes for too long.
-    void close_if_stuck(monotonic::time_point now);
+    void close_if_stalled(monotonic::time_point now);
 
     /// Ends the connection at once.
     void close()
@@ -36,7 +36,7 @@
     awaitable<bool> read_request(client_request& request);
     awaitable<bool> serve(client_request request);
     awaitable<void> reject(int status);
-    awaitable<void> reject_unread(const parse_error& error);
+    awaitable<void> reject_unreadable(const parse_error& error);
 
     gateway_state& m_state;
     std::shared_ptr<byte_channel> m_channel;
--- /dev/null
+++ b/services/gateway/crash_detector.cpp
@@ -0,0 +1,204 @@
+#include "crash_detector.hpp"
+
+#include "gateway_state.hpp"
+
+#include <telemetry/log.hpp>
+
+namespace daleshelf
+{
+
+namespace
+{
+
+// What is let go runs on for some 0.1 s at most servers; others show the end
+// of a busy one within that time again.
+constexpr absl::Duration attempt_retention = absl::Seconds(2);
+// Of 0.3 KB each: two seconds of 250 requests that are let go.
+constexpr std::size_t max_unfinished_attempts = 512;
+// A port that nobody listens on answers within a round trip.
+constexpr milliseconds probe_timeout{300};
+// In which a server that drops what is let go has ended or lives on.
+constexpr milliseconds probe_delay{250};
+
+// @return whether the port refuses connections
+awaitable<bool> is_port_closed(asio::io_context& context,
+                               asio::ip::tcp::endpoint endpoint)
+{
+    asio::ip::tcp::socket socket(context);
+    boot_timer limit(context, probe_timeout);
+    limit.async_wait(
+        [&socket](const error_code& error)
+        {
+            if (!error)
+            {
+                socket.cancel();
+            }
+        });
+    const auto [error] = co_await socket.async_connect(endpoint, use_result);
+    limit.cancel();
+    co_return error == asio::error::connection_refused;
+}
+
+} // namespace
+
+std::string_view name_of(crash_sign sign)
+{
+    switch (sign)
+    {
+    case crash_sign::broken:
+        return "broken";
+    case crash_sign::abandoned:
+        return "left";
+    case crash_sign::refused:
+        return "refused";
+    case crash_sign::closed:
+        return "closed";
+    case crash_sign::listed:
+        return "listed";
+    case crash_sign::reported:
+        return "told";
+    }
+    return "";
+}
+
+crash_detector::crash_detector(gateway_state& state)
+    : m_state(state)
+    , m_unfinished_attempts(max_unfinished_attempts, attempt_retention)
+{
+    // Many requests that end a server are let go before: what shows its end is
+    // then a connection that waits for the next request, or that next one.
+    state.pool.set_failure_listener(
+        [this](const upstream_id& server, bool is_refused)
+        {
+            const auto* entry = m_state.servers.find(server);
+            if (entry != nullptr)
+            {
+                start_probe(*entry, is_refused ? crash_sign::refused
+                                               : crash_sign::closed);
+            }
+        });
+}
+
+void crash_detector::record_unfinished_attempt(const server_entry& server,
+                                               const suspect_request& request,
+                                               absl::Time started)
+{
+    m_unfinished_attempts.note({server.id, server.born},
+                               {request, started, gateway_state::now()});
+}
+
+void crash_detector::start_probe(const server_entry& server, crash_sign sign)
+{
+    const server_life instance{server.id, server.born};
+    if (!is_expected_to_run(server) ||
+        !m_unfinished_attempts.has(instance, gateway_state::now()))
+    {
+        return;
+    }
+    if (sign == crash_sign::refused)
+    {
+        record_crash(instance, sign);
+        return;
+    }
+    asio::co_spawn(
+        m_state.context,
+        [this, server, sign] { return probe_port(server, sign); },
+        asio::detached);
+}
+
+awaitable<void> crash_detector::probe(server_entry server, crash_sign sign)
+{
+    if (is_expected_to_run(server))
+    {
+        co_await probe_port(std::move(server), sign);
+    }
+}
+
+bool crash_detector::is_expected_to_run(const server_entry& server) const
+{
+    return m_state.servers.is_usable(server.id) &&
+           m_state.servers.versions().allows(server.service, server.version);
+}
+
+awaitable<void> crash_detector::probe_port(server_entry server, crash_sign sign)
+{
+    const server_life instance{server.id, server.born};
+    const auto endpoint = parse_endpoint(server.address);
+    if (!endpoint)
+    {
+        co_return;
+    }
+    const auto [running_probe, is_first] =
+        m_running_probes.try_emplace(instance, false);
+    if (!is_first)
+    {
+        // The answer under way may be older than this sign.
+        running_probe->second = true;
+        co_return;
+    }
+    bool is_crashed = false;
+    do
+    {
+        m_running_probes[instance] = false;
+        is_crashed = co_await is_port_closed(m_state.context, *endpoint);
+    } while (!is_crashed && m_running_probes[instance]);
+    m_running_probes.erase(instance);
+    if (is_crashed)
+    {
+        record_crash(instance, sign);
+    }
+}
+
+void crash_detector::start_delayed_probe(const server_entry& server,
+                                         const suspect_request& request)
+{
+    asio::co_spawn(
+        m_state.context,
+        [this, server, request] { return probe_after_delay(server, request); },
+        asio::detached);
+}
+
+awaitable<void> crash_detector::probe_after_delay(server_entry server,
+                                                  suspect_request request)
+{
+    boot_timer timer(m_state.context, probe_delay);
+    co_await timer.async_wait(use_result);
+    co_await probe(server, crash_sign::abandoned);
+    m_state.suspects.end(request.print, server.id);
+}
+
+void crash_detector::record_crash(const server_life& instance, crash_sign sign)
+{
+    for (const auto& attempt :
+         m_unfinished_attempts.take(instance, gateway_state::now()))
+    {
+        record_crash_of(instance, attempt, sign);
+    }
+}
+
+// How long it was there counts to the end, since how long it ran on after it
+// was let go is not known.
+void crash_detector::record_crash_of(const server_life& instance,
+                                     const open_attempt& attempt,
+                                     crash_sign sign)
+{
+    const auto now = gateway_state::now();
+    const auto& request = attempt.request;
+    m_state.poison.note_end(request, instance, now - attempt.began, now);
+    m_state.poison_news.notify();
+    const auto* record = m_state.poison.find(request.print);
+    const auto servers = m_state.servers.usable(request.service).size();
+    const auto ran_ms = absl::ToInt64Milliseconds(now - attempt.began);
+    const auto unfinished_ms = absl::ToInt64Milliseconds(now - attempt.ended);
+    log(events::upstream_ended,
+        {{"server", instance.server.value()},
+         {"born", std::to_string(instance.born.value())},
+         {"sign", std::string(name_of(sign))},
+         {"print", request.print.value()},
+         {"ends", std::to_string(record->ends.size())},
+         {"weight", std::to_string(m_state.poison.weight(*record, servers))},
+         {"ran_ms", std::to_string(ran_ms)},
+         {"open_ms", std::to_string(unfinished_ms)}});
+}
+
+} // namespace daleshelf
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -61,7 +61,7 @@
 {
     if (!m_state.settings.metrics_address.empty())
     {
-        m_metrics = std::make_unique<small_server>(
+        m_metrics = std::make_unique<simple_http_server>(
             context, m_state.settings.metrics_address,
             [this](const std::string&) { return answer_metrics(); });
     }
@@ -188,7 +188,7 @@
         m_state.limits.run_maintenance();
         for (const auto& session : m_sessions)
         {
-            session->close_if_stuck(now);
+            session->close_if_stalled(now);
         }
     }
 }
@@ -264,7 +264,7 @@
     }
 }
 
-short_answer gateway::answer_readiness() const
+simple_response gateway::answer_readiness() const
 {
     return {m_state.is_ready() ? http_status::ok : http_status::unavailable, "",
             "text/plain"};
@@ -332,7 +332,7 @@
               m_duties.token() ? 1 : 0);
 }
 
-short_answer gateway::answer_metrics()
+simple_response gateway::answer_metrics()
 {
     set_gauges();
     return {http_status::ok, m_state.metrics.render(),
--- a/services/gateway/gateway.hpp
+++ b/services/gateway/gateway.hpp
@@ -10,7 +10,7 @@
 #include "poison_service.hpp"
 #include "rollout_service.hpp"
 #include "scale_service.hpp"
-#include "small_server.hpp"
+#include "simple_http_server.hpp"
 #include "topic_follower.hpp"
 
 #include <base/suspension_watch.hpp>
@@ -59,9 +59,9 @@
                      std::string_view state);
     void note_suspension();
     void log_server_changes();
-    [[nodiscard]] short_answer answer_readiness() const;
+    [[nodiscard]] simple_response answer_readiness() const;
     void set_gauges();
-    [[nodiscard]] short_answer answer_metrics();
+    [[nodiscard]] simple_response answer_metrics();
 
     asio::io_context& m_context;
     std::string m_settings_path;
@@ -76,8 +76,8 @@
     poison_service m_poison;
     limit_service m_limits;
     asio::ip::tcp::acceptor m_clients;
-    small_server m_readiness;
-    std::unique_ptr<small_server> m_metrics;
+    simple_http_server m_readiness;
+    std::unique_ptr<simple_http_server> m_metrics;
     asio::signal_set m_signals;
     std::set<std::shared_ptr<client_session>> m_sessions;
     /// Since the last log line of them.
--- a/services/gateway/gateway_records.cpp
+++ b/services/gateway/gateway_records.cpp
@@ -104,7 +104,7 @@
         if (listed != nullptr && !listed->is_draining)
         {
             // Gone without a word: it may serve on, or have ended.
-            m_state.ends.ask_soon(*listed, end_sign::listed);
+            m_state.crashes.start_probe(*listed, crash_sign::listed);
         }
         if (m_state.servers.remove(id))
         {
@@ -150,7 +150,8 @@
         m_state.pool.drop(entry.id);
         if (was_to_stay)
         {
-            m_state.ends.note_over({entry.id, born_before}, end_sign::listed);
+            m_state.crashes.record_crash({entry.id, born_before},
+                                         crash_sign::listed);
         }
     }
     const std::string_view state = entry.is_draining ? "draining" : "ready";
--- a/services/gateway/gateway_state.cpp
+++ b/services/gateway/gateway_state.cpp
@@ -74,7 +74,7 @@
     , poison(bound_of_poison(settings))
     , poison_news(loop.get_executor())
     , limit_updates(loop.get_executor())
-    , ends(*this)
+    , crashes(*this)
     , limits(*this)
 {
     clock.note(self, wall_time(), now());
--- a/services/gateway/gateway_state.hpp
+++ b/services/gateway/gateway_state.hpp
@@ -3,11 +3,11 @@
 #pragma once
 
 #include "async_event.hpp"
+#include "crash_detector.hpp"
 #include "gateway_metrics.hpp"
 #include "gateway_settings.hpp"
 #include "quota_service.hpp"
 #include "server_connection.hpp"
-#include "server_ends.hpp"
 #include "skipped_records.hpp"
 #include "upstream_limiter.hpp"
 
@@ -98,7 +98,7 @@
     suspects_in_flight suspects;
     async_event poison_news;   ///< there is something to tell of `poison`
     async_event limit_updates; ///< limits of upstreams have changed
-    server_ends ends;
+    crash_detector crashes;
     upstream_limiter limits;
     bool has_servers = false;
     bool knows_hosts = false; ///< the list of hosts was read, with those that
--- a/services/gateway/http_call.cpp
+++ b/services/gateway/http_call.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-constexpr std::uint32_t answer_head_bytes = 16384;
-constexpr milliseconds connect_time{1000};
+constexpr std::uint32_t max_head_bytes = 16384;
+constexpr milliseconds connect_timeout{1000};
 
 } // namespace
 
@@ -26,12 +26,12 @@
     interrupt();
 }
 
-awaitable<std::optional<call_answer>>
-http_caller::call(platform::store_call call, milliseconds time,
-                  std::string extra)
+awaitable<std::optional<call_response>>
+http_caller::call(platform::store_call call, milliseconds timeout,
+                  std::string extra_fields)
 {
-    const auto deadline = monotonic::now() + time;
-    const bool is_usable = m_channel != nullptr && m_channel->is_quiet();
+    const auto deadline = monotonic::now() + timeout;
+    const bool is_usable = m_channel != nullptr && m_channel->is_idle();
     if (!is_usable)
     {
         const bool is_connected = co_await connect(deadline);
@@ -54,7 +54,7 @@
     {
         write_field(bytes, "Content-Length", std::to_string(call.body.size()));
     }
-    bytes += extra;
+    bytes += extra_fields;
     write_head_end(bytes);
     bytes += call.body;
     const auto channel = m_channel;
@@ -64,12 +64,12 @@
         interrupt();
         co_return std::nullopt;
     }
-    auto answer = co_await read(deadline);
-    if (!answer)
+    auto response = co_await read(deadline);
+    if (!response)
     {
         interrupt();
     }
-    co_return answer;
+    co_return response;
 }
 
 void http_caller::interrupt()
@@ -91,34 +91,34 @@
     }
     const auto result = co_await connect_channel(
         m_context, *endpoint,
-        std::min(deadline, monotonic::now() + connect_time));
+        std::min(deadline, monotonic::now() + connect_timeout));
     m_channel = result.channel;
     co_return m_channel != nullptr;
 }
 
-awaitable<std::optional<call_answer>>
+awaitable<std::optional<call_response>>
 http_caller::read(monotonic::time_point deadline)
 {
     const auto channel = m_channel;
-    response_parser parser(answer_head_bytes);
-    call_answer answer;
+    response_parser parser(max_head_bytes);
+    call_response response;
     try
     {
         while (true)
         {
             channel->consume(parser.feed(channel->input()));
-            answer.body += parser.take_body();
+            response.body += parser.take_body();
             if (parser.is_complete())
             {
                 const auto head = parser.take_head();
-                answer.status = head.status;
+                response.status = head.status;
                 if (!keeps_connection(head.fields, head.version))
                 {
                     interrupt();
                 }
-                co_return answer;
+                co_return response;
             }
-            if (channel->end() != channel_end::open)
+            if (channel->connection_state() != channel_state::open)
             {
                 co_return std::nullopt;
             }
--- a/services/gateway/http_call.hpp
+++ b/services/gateway/http_call.hpp
@@ -13,7 +13,7 @@
 {
 
 /// A whole answer to a call.
-struct call_answer
+struct call_response
 {
     int status = 0;
     std::string body;
@@ -34,15 +34,17 @@
     /// @param extra header fields, as bytes
     /// @param time longest wait for the whole answer
     /// @return the answer, or nothing
-    awaitable<std::optional<call_answer>>
-    call(platform::store_call call, milliseconds time, std::string extra = "");
+    awaitable<std::optional<call_response>> call(platform::store_call call,
+                                                 milliseconds timeout,
+                                                 std::string extra_fields = "");
 
     /// Gives up the call under way.
     void interrupt();
 
 private:
     awaitable<bool> connect(monotonic::time_point deadline);
-    awaitable<std::optional<call_answer>> read(monotonic::time_point deadline);
+    awaitable<std::optional<call_response>>
+    read(monotonic::time_point deadline);
 
     asio::io_context& m_context;
     std::string m_address;
--- a/services/gateway/peer_exchange.hpp
+++ b/services/gateway/peer_exchange.hpp
@@ -4,7 +4,7 @@
 
 #include "gateway_state.hpp"
 #include "host_list.hpp"
-#include "small_server.hpp"
+#include "simple_http_server.hpp"
 #include "topic_sharing.hpp"
 
 #include <functional>
@@ -139,7 +139,7 @@
     host_list m_list;
     peer_table m_table;
     asio::ip::udp::socket m_socket;
-    small_server m_server;
+    simple_http_server m_server;
     topic_sharing m_sharing;
     std::function<void(std::int64_t, const host_id&)> m_on_counts_told;
     std::function<std::string(std::string_view)> m_on_rollout;
--- a/services/gateway/poison_service.cpp
+++ b/services/gateway/poison_service.cpp
@@ -120,7 +120,7 @@
         // Its server has ended under others of this host as well.
         for (const auto& [life, end] : record.ends)
         {
-            m_state.ends.note_over(life, end_sign::told);
+            m_state.crashes.record_crash(life, crash_sign::reported);
         }
     }
 }
--- a/services/gateway/request_choice.cpp
+++ b/services/gateway/request_choice.cpp
@@ -8,7 +8,7 @@
 namespace daleshelf
 {
 
-choice_request request_flow::next_choice()
+choice_request request_flow::make_choice_request()
 {
     choice_request wanted;
     wanted.service = m_service->name;
@@ -32,9 +32,10 @@
         wanted.trial = m_state.rollouts.pick_target(m_service->name, now);
     }
     const auto* server = m_state.choice.choose(wanted, now);
-    const bool is_tried_in_vain =
-        wanted.trial && (server == nullptr || hopeless_for(*server, wanted));
-    if (!is_tried_in_vain)
+    const bool is_target_unusable =
+        wanted.trial &&
+        (server == nullptr || retry_delay_if_too_late(*server, wanted));
+    if (!is_target_unusable)
     {
         return server;
     }
@@ -45,7 +46,7 @@
 // The best server that has room within its limit.
 // @param wanted takes those that have none
 awaitable<std::optional<request_flow::permitted_server>>
-request_flow::choose_permitted(choice_request& wanted)
+request_flow::choose_permitted_server(choice_request& wanted)
 {
     while (true)
     {
@@ -72,15 +73,15 @@
 
 // No server has taken the request. Its client may come back when the first of
 // them is to be asked again.
-awaitable<void> request_flow::refuse_unserved(attempt_end end)
+awaitable<void> request_flow::reject_unserved(attempt_result result)
 {
     refund_quota();
     const auto now = gateway_state::now();
     if (const auto rest = m_state.choice.all_rest_until(m_service->name, now))
     {
-        co_await refuse(http_status::unavailable, "servers_rest",
+        co_await reject(http_status::unavailable, "servers_rest",
                         std::clamp(absl::ToChronoMilliseconds(*rest - now),
-                                   retry_when_full, longest_retry));
+                                   retry_when_full, max_retry_after));
         co_return;
     }
     const auto passed_over = m_state.choice.passed_over(m_service->name, now);
@@ -90,15 +91,15 @@
         {
             m_passed_over.add(server.value());
         }
-        const auto wait = m_state.limits.reserve_return(m_service->name);
-        co_await refuse(http_status::unavailable, "servers_limited",
+        const auto wait = m_state.limits.reserve_retry(m_service->name);
+        co_await reject(http_status::unavailable, "servers_limited",
                         std::clamp(absl::ToChronoMilliseconds(wait),
-                                   retry_when_full, longest_retry));
+                                   retry_when_full, max_retry_after));
         co_return;
     }
-    co_await refuse(http_status::unavailable,
-                    end == attempt_end::not_reached ? "no_server_reached"
-                                                    : "servers_full",
+    co_await reject(http_status::unavailable,
+                    result == attempt_result::not_reached ? "no_server_reached"
+                                                          : "servers_full",
                     retry_when_full);
 }
 
--- a/services/gateway/request_engines.cpp
+++ b/services/gateway/request_engines.cpp
@@ -11,8 +11,8 @@
 // would only cost its client the time.
 // @return after how long places are expected to be free, in ms
 std::optional<milliseconds>
-request_flow::hopeless_for(const server_entry& server,
-                           const choice_request& wanted) const
+request_flow::retry_delay_if_too_late(const server_entry& server,
+                                      const choice_request& wanted) const
 {
     if (!m_service->is_engine || m_may_have_run ||
         !m_state.settings.refuses_hopeless)
@@ -29,8 +29,8 @@
 }
 
 // What the head's time, which is that of the first event, shows of a version.
-void request_flow::note_first(const response_head& head,
-                              monotonic::duration time)
+void request_flow::record_first_event(const response_head& head,
+                                      monotonic::duration time)
 {
     constexpr double percent = 100;
     if (m_service->is_engine && head.status < http_status::bad_request)
@@ -41,17 +41,19 @@
 }
 
 // What an attempt that has reached a server shows of its version.
-void request_flow::note_version(const server_entry& server, attempt_end end,
-                                monotonic::duration time)
+void request_flow::record_version_result(const server_entry& server,
+                                         attempt_result result,
+                                         monotonic::duration time)
 {
-    const bool is_answer =
-        end == attempt_end::answered || end == attempt_end::server_error ||
-        end == attempt_end::broken || end == attempt_end::late;
-    if (!is_answer)
+    const bool is_response = result == attempt_result::answered ||
+                             result == attempt_result::server_error ||
+                             result == attempt_result::broken ||
+                             result == attempt_result::late;
+    if (!is_response)
     {
         return;
     }
-    m_seen.is_failure = m_seen.is_failure || end != attempt_end::answered;
+    m_seen.is_failure = m_seen.is_failure || result != attempt_result::answered;
     if (!m_service->is_engine)
     {
         m_seen.first = to_ms(time);
@@ -61,7 +63,7 @@
 }
 
 // What the request asks of the service's engines, for whoever orders servers.
-void request_flow::count_work()
+void request_flow::record_demand()
 {
     if (!m_service->is_engine)
     {
@@ -76,12 +78,12 @@
 
 // One that had to wait for a place, or that goes on elsewhere, tells nothing
 // of the time to read.
-void request_flow::learn_reading(const server_entry& server,
-                                 const response_head& head,
-                                 monotonic::duration time)
+void request_flow::record_prefill_time(const server_entry& server,
+                                       const response_head& head,
+                                       monotonic::duration time)
 {
     if (!m_service->is_engine || !m_state.settings.learns_engines ||
-        head.status >= http_status::bad_request || m_answer.has_begun() ||
+        head.status >= http_status::bad_request || m_response.has_begun() ||
         m_work.running >= server.slots)
     {
         return;
@@ -96,8 +98,8 @@
 }
 
 // A stream that came whole from one server tells how fast that generates.
-void request_flow::learn_generating(std::int64_t events,
-                                    monotonic::duration time)
+void request_flow::record_generation_time(std::int64_t events,
+                                          monotonic::duration time)
 {
     if (!m_service->is_engine || !m_state.settings.learns_engines ||
         m_attempts != 1)
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -14,22 +14,22 @@
 namespace
 {
 
-constexpr int most_failed_connects = 3;
+constexpr int max_failed_connects = 3;
 constexpr int priorities_per_tenant = 3;
 constexpr int lowest_priority = 9;
 
 // A stopping process begins nothing later than this after it was told.
-constexpr milliseconds last_begin{2900};
+constexpr milliseconds stop_accept_window{2900};
 
 // When a client may come back, by why it was refused.
 constexpr milliseconds retry_when_unconfigured{1000};
 
 } // namespace
 
-request_flow::request_flow(gateway_state& state, client_answer& answer,
+request_flow::request_flow(gateway_state& state, client_response& response,
                            client_request request)
     : m_state(state)
-    , m_answer(answer)
+    , m_response(response)
     , m_request(std::move(request))
     , m_facts(platform::read_facts(m_request.head.fields))
     , m_routes(state.routes)
@@ -71,13 +71,13 @@
     }
     if (m_routes == nullptr)
     {
-        co_await refuse(http_status::unavailable, "no_configuration",
+        co_await reject(http_status::unavailable, "no_configuration",
                         retry_when_unconfigured);
         co_return false;
     }
-    if (is_too_late_to_begin())
+    if (is_past_stop_window())
     {
-        co_await refuse(http_status::unavailable, "stopping", retry_when_full);
+        co_await reject(http_status::unavailable, "stopping", retry_when_full);
         co_return false;
     }
     // 2. The route.
@@ -107,7 +107,7 @@
     m_service = m_routes->find_service(target);
     if (m_service == nullptr)
     {
-        co_await refuse(http_status::unavailable, "unknown_service",
+        co_await reject(http_status::unavailable, "unknown_service",
                         retry_when_unconfigured);
         co_return false;
     }
@@ -126,16 +126,16 @@
             const auto wait =
                 absl::ToChronoMilliseconds(m_state.quota.shared().time_to_earn(
                     m_tenant->name, m_quota_cost));
-            co_await refuse(
+            co_await reject(
                 http_status::too_many_requests, "quota",
                 std::clamp(wait, milliseconds(m_state.settings.quota_retry_ms),
-                           longest_retry));
+                           max_retry_after));
             co_return false;
         }
         if (m_is_cancelled)
         {
             refund_quota();
-            log_end("client_left");
+            log_outcome("client_left");
             co_return false;
         }
     }
@@ -148,67 +148,71 @@
 {
     while (true)
     {
-        recognise();
-        const bool is_stopped = co_await is_stopped_as_poison();
-        if (is_stopped)
+        identify_suspect();
+        const bool is_finished = co_await reject_if_poison();
+        if (is_finished)
         {
             co_return;
         }
-        auto wanted = next_choice();
-        auto target = co_await choose_permitted(wanted);
+        auto wanted = make_choice_request();
+        auto target = co_await choose_permitted_server(wanted);
         if (!target)
         {
-            co_await give_up(attempt_end::not_run);
+            co_await finish_failed(attempt_result::not_run);
             co_return;
         }
         const auto chosen = target->server;
-        if (const auto wait = hopeless_for(chosen, wanted))
+        if (const auto wait = retry_delay_if_too_late(chosen, wanted))
         {
             m_state.limits.refund(std::move(target->permit));
             refund_quota();
-            co_await refuse(http_status::unavailable, "too_late",
-                            std::clamp(*wait, retry_when_full, longest_retry));
+            co_await reject(
+                http_status::unavailable, "too_late",
+                std::clamp(*wait, retry_when_full, max_retry_after));
             co_return;
         }
         m_tried.insert(chosen.id);
         m_server_hall = chosen.hall.value();
         const auto sent_at = monotonic::now();
-        const auto end = co_await attempt(*target, wanted);
-        log_attempt(chosen, end);
-        note_attempt(chosen, end, sent_at);
-        if (end == attempt_end::broken || end == attempt_end::not_reached)
+        const auto result = co_await attempt(*target, wanted);
+        log_attempt(chosen, result);
+        record_attempt(chosen, result, sent_at);
+        if (result == attempt_result::broken ||
+            result == attempt_result::not_reached)
         {
             m_broken_halls.insert(chosen.hall);
         }
-        if (end == attempt_end::answered || end == attempt_end::abandoned)
+        if (result == attempt_result::answered ||
+            result == attempt_result::abandoned)
         {
-            log_end(end == attempt_end::answered ? "answered" : "client_left");
+            log_outcome(result == attempt_result::answered ? "answered"
+                                                           : "client_left");
             co_return;
         }
-        if (!may_try_again(end))
+        if (!can_retry(result))
         {
-            co_await give_up(end);
+            co_await finish_failed(result);
             co_return;
         }
     }
 }
 
-server_request request_flow::request_to(permitted_server& target) const
+server_request request_flow::make_server_request(permitted_server& target) const
 {
     server_request sent(std::move(target.permit), target.server);
     sent.id = m_facts.id.value();
-    sent.bytes = bytes_for(target.server);
+    sent.bytes = serialized_request(target.server);
     sent.is_repeatable = may_repeat(*m_route);
-    sent.has_no_answer_body = m_request.head.method == "HEAD";
+    sent.has_no_response_body = m_request.head.method == "HEAD";
     sent.deadline = m_deadline;
     return sent;
 }
 
-awaitable<request_flow::attempt_end>
+awaitable<request_flow::attempt_result>
 request_flow::attempt(permitted_server& target, const choice_request& wanted)
 {
     const auto& server = target.server;
-    server_exchange exchange(m_state.pool, request_to(target));
+    server_exchange exchange(m_state.pool, make_server_request(target));
     m_exchange = &exchange;
     m_expected_first_ms =
         m_service->is_engine && m_state.rollouts.is_watching(m_service->name)
@@ -222,15 +226,16 @@
     {
         m_state.suspects.begin(suspect->print, server.id);
     }
-    count_work();
+    record_demand();
     const auto sent_at = monotonic::now();
-    auto end = attempt_end::abandoned;
+    auto result = attempt_result::abandoned;
     auto state = exchange_state::failed;
     if (!m_is_cancelled)
     {
         state = co_await exchange.start();
     }
-    heed(m_state, server, exchange.notice(), gateway_state::to_time(sent_at));
+    apply_notice(m_state, server, exchange.notice(),
+                 gateway_state::to_time(sent_at));
     m_state.choice.prompt_read(server.life(), m_work.tokens);
     m_was_sent = exchange.known_verdict() != verdict::not_run;
     if (m_was_sent)
@@ -245,34 +250,36 @@
     auto outcome = attempt_outcome::answered;
     if (m_is_cancelled)
     {
-        end = attempt_end::abandoned;
+        result = attempt_result::abandoned;
         m_may_have_run = true;
     }
-    else if (state == exchange_state::late)
+    else if (state == exchange_state::timed_out)
     {
         m_may_have_run = true;
         outcome = attempt_outcome::silent;
-        end = attempt_end::late;
+        result = attempt_result::late;
     }
     else if (state == exchange_state::failed)
     {
         outcome = attempt_outcome::unreachable;
         const bool is_unsent = exchange.known_verdict() == verdict::not_run;
-        end = is_unsent ? attempt_end::not_reached : attempt_end::broken;
+        result =
+            is_unsent ? attempt_result::not_reached : attempt_result::broken;
         m_may_have_run = m_may_have_run || !is_unsent;
     }
     else if (platform::states_not_run(exchange.head()))
     {
         outcome = attempt_outcome::refused;
-        end = attempt_end::not_run;
+        result = attempt_result::not_run;
     }
     else
     {
         m_may_have_run = true;
-        learn_reading(server, exchange.head(), monotonic::now() - sent_at);
-        note_first(exchange.head(), monotonic::now() - sent_at);
-        end = co_await relay(exchange);
-        if (end == attempt_end::broken)
+        record_prefill_time(server, exchange.head(),
+                            monotonic::now() - sent_at);
+        record_first_event(exchange.head(), monotonic::now() - sent_at);
+        result = co_await relay(exchange);
+        if (result == attempt_result::broken)
         {
             outcome = attempt_outcome::unreachable;
         }
@@ -282,26 +289,27 @@
             m_seen.is_failure = true;
         }
     }
-    note_version(server, end, monotonic::now() - sent_at);
+    record_version_result(server, result, monotonic::now() - sent_at);
     exchange.cancel();
     m_exchange = nullptr;
-    const bool is_let_go = m_was_sent && (end == attempt_end::abandoned ||
-                                          end == attempt_end::late);
-    if (suspect && is_let_go)
+    const bool is_abandoned =
+        m_was_sent &&
+        (result == attempt_result::abandoned || result == attempt_result::late);
+    if (suspect && is_abandoned)
     {
         // It may still end the server: nobody else sends it meanwhile.
-        m_state.ends.ask_later(server, *suspect);
+        m_state.crashes.start_delayed_probe(server, *suspect);
     }
     else if (suspect)
     {
         m_state.suspects.end(suspect->print, server.id);
     }
     m_state.choice.end(server.life());
-    if (end != attempt_end::abandoned)
+    if (result != attempt_result::abandoned)
     {
         m_state.choice.report(server.life(), outcome, gateway_state::now());
     }
-    co_return end;
+    co_return result;
 }
 
 void request_flow::refund_quota()
@@ -313,25 +321,25 @@
 }
 
 // Step 6: whether another server may get the request.
-bool request_flow::may_try_again(attempt_end end)
+bool request_flow::can_retry(attempt_result result)
 {
-    if (end == attempt_end::late || time_left().count() <= 0)
+    if (result == attempt_result::late || time_left().count() <= 0)
     {
         return false;
     }
-    if (end == attempt_end::not_reached)
+    if (result == attempt_result::not_reached)
     {
         // Nothing has arrived anywhere: no retry in the budget's sense.
-        return ++m_failed_connects < most_failed_connects;
+        return ++m_failed_connects < max_failed_connects;
     }
-    const bool may_run_again =
+    const bool can_run_again =
         !m_may_have_run ||
         (may_repeat(*m_route) && m_attempts < m_route->max_attempts);
-    if (!may_run_again || m_attempts > m_route->max_attempts)
+    if (!can_run_again || m_attempts > m_route->max_attempts)
     {
         return false;
     }
-    if (m_answer.has_begun() &&
+    if (m_response.has_begun() &&
         !(m_last_event && m_state.settings.resumes_streams))
     {
         return false;
@@ -341,51 +349,53 @@
 }
 
 // Step 7: the final answer, at once.
-awaitable<void> request_flow::give_up(attempt_end end)
+awaitable<void> request_flow::finish_failed(attempt_result result)
 {
-    if (m_answer.has_begun())
+    if (m_response.has_begun())
     {
-        log_end("broken_off");
-        m_answer.break_off();
+        log_outcome("broken_off");
+        m_response.abort();
         co_return;
     }
     if (!m_may_have_run)
     {
-        co_await refuse_unserved(end);
+        co_await reject_unserved(result);
         co_return;
     }
-    if (m_error_answer)
+    if (m_error_response)
     {
-        log_end("server_error");
-        co_await m_answer.send_whole(m_error_answer->first,
-                                     std::move(m_error_answer->second));
+        log_outcome("server_error");
+        co_await m_response.send_complete(m_error_response->first,
+                                          std::move(m_error_response->second));
         co_return;
     }
-    const bool is_late = end == attempt_end::late;
+    const bool is_late = result == attempt_result::late;
     co_await fail(is_late ? http_status::gateway_timeout
                           : http_status::bad_gateway,
                   is_late ? "deadline" : "may_have_run");
 }
 
 // The request has not run and never will.
-awaitable<void> request_flow::refuse(int status, std::string_view reason,
+awaitable<void> request_flow::reject(int status, std::string_view reason,
                                      std::optional<milliseconds> retry_after)
 {
-    co_await answer_own(events::request_refused, status, reason, retry_after);
+    co_await send_local_response(events::request_refused, status, reason,
+                                 retry_after);
 }
 
 // Nothing is promised of whether the request has run, or coming back is no use.
 awaitable<void> request_flow::fail(int status, std::string_view reason)
 {
-    co_await answer_own(events::request_failed, status, reason, std::nullopt);
+    co_await send_local_response(events::request_failed, status, reason,
+                                 std::nullopt);
 }
 
 awaitable<void>
-request_flow::answer_own(const log_event& event, int status,
-                         std::string_view reason,
-                         std::optional<milliseconds> retry_after)
+request_flow::send_local_response(const log_event& event, int status,
+                                  std::string_view reason,
+                                  std::optional<milliseconds> retry_after)
 {
-    count_end(reason);
+    count_outcome(reason);
     std::vector<log_field> fields{
         {"id", m_facts.id.value()},
         {"status", std::to_string(status)},
@@ -403,10 +413,10 @@
     log(event, fields);
     std::string extra;
     platform::write_refusal_fields(extra, m_facts.id.value(), retry_after);
-    co_await m_answer.send_own(status, extra);
+    co_await m_response.send_local(status, extra);
 }
 
-std::string request_flow::bytes_for(const server_entry& server) const
+std::string request_flow::serialized_request(const server_entry& server) const
 {
     std::string bytes;
     write_start_line(bytes, m_request.head);
@@ -414,7 +424,7 @@
     for (const auto& field : fields.fields)
     {
         const bool is_length = same_name(field.name, "Content-Length");
-        const bool is_replaced = m_last_event && m_answer.has_begun() &&
+        const bool is_replaced = m_last_event && m_response.has_begun() &&
                                  same_name(field.name, "Last-Event-Id");
         if (is_length || is_replaced || is_hop_by_hop(fields, field.name) ||
             platform::is_withheld(field.name))
@@ -444,10 +454,10 @@
             std::min(lowest_priority, tenant_priority * priorities_per_tenant +
                                           m_route->priority);
     }
-    if (m_answer.has_begun())
+    if (m_response.has_begun())
     {
         own.last_event = m_last_event;
-        own.expected_weights = m_weights;
+        own.expected_weights = m_weights_version;
     }
     platform::write_server_fields(bytes, own);
     write_head_end(bytes);
@@ -457,10 +467,10 @@
 
 // @return whether this process may end before the request could: the balancer
 // has had the time to choose others by now
-bool request_flow::is_too_late_to_begin() const
+bool request_flow::is_past_stop_window() const
 {
     return m_state.is_stopping &&
-           m_request.received - m_state.stopping_since > last_begin;
+           m_request.received - m_state.stopping_since > stop_accept_window;
 }
 
 milliseconds request_flow::time_left() const
@@ -475,11 +485,11 @@
                                                     m_request.received);
 }
 
-void request_flow::count_begun()
+void request_flow::count_usage()
 {
-    if (!m_was_counted && m_tenant != nullptr)
+    if (!m_is_usage_counted && m_tenant != nullptr)
     {
-        m_was_counted = true;
+        m_is_usage_counted = true;
         m_state.usage.count(m_tenant->name, m_state.time_of_day());
     }
 }
--- a/services/gateway/request_flow.hpp
+++ b/services/gateway/request_flow.hpp
@@ -2,7 +2,7 @@
 /// The way of one request through the gateway.
 #pragma once
 
-#include "client_answer.hpp"
+#include "client_response.hpp"
 #include "gateway_state.hpp"
 #include "server_exchange.hpp"
 
@@ -33,7 +33,7 @@
 class request_flow
 {
 public:
-    request_flow(gateway_state& state, client_answer& answer,
+    request_flow(gateway_state& state, client_response& response,
                  client_request request);
     ~request_flow();
     request_flow(const request_flow&) = delete;
@@ -47,7 +47,7 @@
 
 private:
     /// How one attempt has ended.
-    enum class attempt_end
+    enum class attempt_result
     {
         answered,     ///< the client has its whole answer
         not_run,      ///< certainly not run; may be tried elsewhere
@@ -67,66 +67,73 @@
 
     // When a client may come back that was refused.
     static constexpr milliseconds retry_when_full{250};
-    static constexpr milliseconds longest_retry{5000};
-    static constexpr std::size_t most_named = 4;
+    static constexpr milliseconds max_retry_after{5000};
+    static constexpr std::size_t max_named = 4;
 
     awaitable<bool> admit();
     awaitable<void> try_servers();
-    [[nodiscard]] server_request request_to(permitted_server& target) const;
-    awaitable<attempt_end> attempt(permitted_server& target,
-                                   const choice_request& wanted);
-    awaitable<attempt_end> relay(server_exchange& exchange);
-    awaitable<attempt_end> relay_whole(server_exchange& exchange);
-    awaitable<attempt_end> relay_events(server_exchange& exchange);
+    [[nodiscard]] server_request
+    make_server_request(permitted_server& target) const;
+    awaitable<attempt_result> attempt(permitted_server& target,
+                                      const choice_request& wanted);
+    awaitable<attempt_result> relay(server_exchange& exchange);
+    awaitable<attempt_result> relay_body(server_exchange& exchange);
+    awaitable<attempt_result> relay_event_stream(server_exchange& exchange);
     awaitable<bool> forward_events(event_splitter& splitter,
-                                   const response_head& head, bool& is_sound);
+                                   const response_head& head,
+                                   bool& is_in_order);
     awaitable<bool> send_piece(const response_head& head,
                                std::string_view bytes);
     [[nodiscard]] std::optional<milliseconds>
-    hopeless_for(const server_entry& server,
-                 const choice_request& wanted) const;
+    retry_delay_if_too_late(const server_entry& server,
+                            const choice_request& wanted) const;
     void refund_quota();
-    bool may_try_again(attempt_end end);
-    awaitable<void> give_up(attempt_end end);
-    awaitable<void> refuse_unserved(attempt_end end);
-    awaitable<void> refuse(int status, std::string_view reason,
+    bool can_retry(attempt_result result);
+    awaitable<void> finish_failed(attempt_result result);
+    awaitable<void> reject_unserved(attempt_result result);
+    awaitable<void> reject(int status, std::string_view reason,
                            std::optional<milliseconds> retry_after);
     awaitable<void> fail(int status, std::string_view reason);
-    awaitable<void> answer_own(const log_event& event, int status,
-                               std::string_view reason,
-                               std::optional<milliseconds> retry_after);
-    [[nodiscard]] std::string bytes_for(const server_entry& server) const;
-    [[nodiscard]] bool is_too_late_to_begin() const;
+    awaitable<void>
+    send_local_response(const log_event& event, int status,
+                        std::string_view reason,
+                        std::optional<milliseconds> retry_after);
+    [[nodiscard]] std::string
+    serialized_request(const server_entry& server) const;
+    [[nodiscard]] bool is_past_stop_window() const;
     [[nodiscard]] milliseconds time_left() const;
     [[nodiscard]] milliseconds elapsed() const;
-    void count_work();
-    void learn_reading(const server_entry& server, const response_head& head,
-                       monotonic::duration time);
-    void learn_generating(std::int64_t events, monotonic::duration time);
-    choice_request next_choice();
+    void record_demand();
+    void record_prefill_time(const server_entry& server,
+                             const response_head& head,
+                             monotonic::duration time);
+    void record_generation_time(std::int64_t events, monotonic::duration time);
+    choice_request make_choice_request();
     const server_entry* choose_server(choice_request& wanted);
     awaitable<std::optional<permitted_server>>
-    choose_permitted(choice_request& wanted);
+    choose_permitted_server(choice_request& wanted);
     [[nodiscard]] request_content content() const;
-    void recognise();
+    void identify_suspect();
     [[nodiscard]] bool must_wait(const request_print& print) const;
-    awaitable<void> hold_until_told();
-    awaitable<bool> is_stopped_as_poison();
+    awaitable<void> wait_for_peer_reports();
+    awaitable<bool> reject_if_poison();
     void mark_suspect(choice_request& wanted);
-    void note_attempt(const server_entry& server, attempt_end end,
-                      monotonic::time_point began);
-    void note_open(const server_entry& server, attempt_end end,
-                   monotonic::time_point began);
-    void note_first(const response_head& head, monotonic::duration time);
-    void note_version(const server_entry& server, attempt_end end,
-                      monotonic::duration time);
-    void count_begun();
-    void log_attempt(const server_entry& server, attempt_end end) const;
-    void log_end(std::string_view outcome);
-    void count_end(std::string_view outcome);
+    void record_attempt(const server_entry& server, attempt_result result,
+                        monotonic::time_point started);
+    void record_unfinished_attempt(const server_entry& server,
+                                   attempt_result result,
+                                   monotonic::time_point started);
+    void record_first_event(const response_head& head,
+                            monotonic::duration time);
+    void record_version_result(const server_entry& server,
+                               attempt_result result, monotonic::duration time);
+    void count_usage();
+    void log_attempt(const server_entry& server, attempt_result result) const;
+    void log_outcome(std::string_view outcome);
+    void count_outcome(std::string_view outcome);
 
     gateway_state& m_state;
-    client_answer& m_answer;
+    client_response& m_response;
     client_request m_request;
     request_facts m_facts;
     std::shared_ptr<const route_table> m_routes;
@@ -136,7 +143,7 @@
     monotonic::time_point m_deadline{};
     double m_quota_cost = 0;
     std::string m_quota_verdict; ///< how it was found, for logs
-    bool m_was_counted = false;
+    bool m_is_usage_counted = false;
     bool m_was_sent = false; ///< in the last attempt, to the server
     std::string m_server_hall;
     bool m_is_cancelled = false;
@@ -148,12 +155,12 @@
     int m_failed_connects = 0;
     absl::flat_hash_set<upstream_id> m_tried;
     /// Servers without room within their limits, for the log.
-    name_batch m_passed_over{most_named};
+    name_batch m_passed_over{max_named};
     absl::flat_hash_set<hall_id> m_broken_halls;
     std::optional<std::int64_t> m_last_event;
-    std::optional<std::int64_t> m_weights;
+    std::optional<std::int64_t> m_weights_version;
     server_exchange* m_exchange = nullptr;
-    std::optional<std::pair<response_head, std::string>> m_error_answer;
+    std::optional<std::pair<response_head, std::string>> m_error_response;
     /// Known of only if it may end servers.
     std::optional<suspect_request> m_suspect;
 };
--- a/services/gateway/request_log.cpp
+++ b/services/gateway/request_log.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-std::string_view kind_name(request_kind kind)
+std::string_view name_of_kind(request_kind kind)
 {
     switch (kind)
     {
@@ -27,26 +27,28 @@
 } // namespace
 
 void request_flow::log_attempt(const server_entry& server,
-                               attempt_end end) const
+                               attempt_result result) const
 {
-    if (end == attempt_end::answered || end == attempt_end::abandoned)
+    if (result == attempt_result::answered ||
+        result == attempt_result::abandoned)
     {
         return;
     }
     static constexpr std::array<std::string_view, 7> names{
         "answered", "not_run", "not_reached", "server_error",
         "broken",   "late",    "abandoned"};
-    m_state.meter.count_failed_attempt(names.at(static_cast<std::size_t>(end)));
+    m_state.meter.count_failed_attempt(
+        names.at(static_cast<std::size_t>(result)));
     log(events::upstream_failed,
         {{"id", m_facts.id.value()},
          {"server", server.id.value()},
          {"born", std::to_string(server.born.value())},
-         {"end", std::string(names.at(static_cast<std::size_t>(end)))},
+         {"end", std::string(names.at(static_cast<std::size_t>(result)))},
          {"attempts", std::to_string(m_attempts)},
          {"ms", std::to_string(elapsed().count())}});
 }
 
-void request_flow::count_end(std::string_view outcome)
+void request_flow::count_outcome(std::string_view outcome)
 {
     using seconds = std::chrono::duration<double>;
     request_summary summary;
@@ -58,16 +60,16 @@
     m_state.meter.count(summary);
 }
 
-void request_flow::log_end(std::string_view outcome)
+void request_flow::log_outcome(std::string_view outcome)
 {
-    count_end(outcome);
+    count_outcome(outcome);
     log(events::request_ended,
         {{"id", m_facts.id.value()},
          {"outcome", std::string(outcome)},
-         {"kind", std::string(kind_name(m_route->kind))},
+         {"kind", std::string(name_of_kind(m_route->kind))},
          {"tenant", m_tenant == nullptr ? "" : m_tenant->name.value()},
          {"cost", std::to_string(static_cast<std::int64_t>(m_quota_cost))},
-         {"status", std::to_string(m_answer.status())},
+         {"status", std::to_string(m_response.status())},
          {"attempts", std::to_string(m_attempts)},
          {"ms", std::to_string(elapsed().count())}});
 }
--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -14,9 +14,9 @@
 // objective of a first event in use is 1.2 s.
 constexpr milliseconds retry_when_suspected{1000};
 // In which other hosts' words have come, and the tick in which they are read.
-constexpr milliseconds hold_time{300};
+constexpr milliseconds report_wait{300};
 // Whoever has less time than so many holds is told at once to come back.
-constexpr int least_holds_left = 3;
+constexpr int min_waits_left = 3;
 
 } // namespace
 
@@ -29,7 +29,7 @@
 }
 
 // Step 1: most requests are alike to none that is known, which is cheap to see.
-void request_flow::recognise()
+void request_flow::identify_suspect()
 {
     if (m_suspect || m_state.poison.size() == 0)
     {
@@ -52,38 +52,38 @@
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
     const auto now = gateway_state::now();
-    const bool is_alone = !m_state.suspects.has(print);
+    const bool is_only_attempt = !m_state.suspects.has(print);
     return m_state.poison.must_wait(print, servers, now) ||
-           (!is_alone && m_state.poison.goes_alone(print, servers, now));
+           (!is_only_attempt && m_state.poison.goes_alone(print, servers, now));
 }
 
 // What other hosts saw of its last end is there in a moment: most that wait for
 // it are innocent, and a refusal would cost them a second.
-awaitable<void> request_flow::hold_until_told()
+awaitable<void> request_flow::wait_for_peer_reports()
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
-    const auto judged =
+    const auto level =
         m_state.poison.judge(m_suspect->print, servers, gateway_state::now());
-    const bool has_time = time_left() > hold_time * least_holds_left;
-    if (judged != suspicion::suspect || !must_wait(m_suspect->print) ||
+    const bool has_time = time_left() > report_wait * min_waits_left;
+    if (level != suspicion::suspect || !must_wait(m_suspect->print) ||
         !has_time)
     {
         co_return;
     }
-    boot_timer timer(m_state.context, hold_time);
+    boot_timer timer(m_state.context, report_wait);
     co_await timer.async_wait(use_result);
 }
 
 // Step 2: what is proved is refused at once, but for the one host that tries it
 // again; of what is suspected one at a time is sent.
 // @return whether the request has its final answer
-awaitable<bool> request_flow::is_stopped_as_poison()
+awaitable<bool> request_flow::reject_if_poison()
 {
     if (!m_suspect)
     {
         co_return false;
     }
-    co_await hold_until_told();
+    co_await wait_for_peer_reports();
     if (m_is_cancelled)
     {
         // The attempt that follows sends nothing.
@@ -92,30 +92,31 @@
     const auto now = gateway_state::now();
     const auto& print = m_suspect->print;
     const auto servers = m_state.servers.usable(m_service->name).size();
-    const auto judged = m_state.poison.judge(print, servers, now);
-    const bool is_proved = judged == suspicion::proved;
-    const bool may_go = is_proved
-                            ? m_state.poison.may_try(print, m_state.self, now)
-                            : !must_wait(print);
+    const auto level = m_state.poison.judge(print, servers, now);
+    const bool is_confirmed = level == suspicion::proved;
+    const bool is_allowed =
+        is_confirmed ? m_state.poison.may_try(print, m_state.self, now)
+                     : !must_wait(print);
     if (m_state.poison.has_news())
     {
         m_state.poison_news.notify();
     }
-    if (may_go)
+    if (is_allowed)
     {
         co_return false;
     }
-    if (m_may_have_run || m_answer.has_begun())
+    if (m_may_have_run || m_response.has_begun())
     {
-        co_await give_up(attempt_end::broken);
+        co_await finish_failed(attempt_result::broken);
         co_return true;
     }
     refund_quota();
-    const auto wait = is_proved ? absl::ToChronoMilliseconds(
-                                      m_state.poison.time_to_trial(print, now))
-                                : retry_when_suspected;
-    co_await refuse(http_status::unavailable,
-                    is_proved ? "ends_servers" : "may_end_servers",
+    const auto wait = is_confirmed
+                          ? absl::ToChronoMilliseconds(
+                                m_state.poison.time_to_trial(print, now))
+                          : retry_when_suspected;
+    co_await reject(http_status::unavailable,
+                    is_confirmed ? "ends_servers" : "may_end_servers",
                     std::max(wait, retry_when_suspected));
     co_return true;
 }
@@ -131,46 +132,50 @@
 }
 
 // Step 4: evidence for it, or against.
-void request_flow::note_attempt(const server_entry& server, attempt_end end,
-                                monotonic::time_point began)
+void request_flow::record_attempt(const server_entry& server,
+                                  attempt_result result,
+                                  monotonic::time_point started)
 {
-    if (end != attempt_end::answered)
+    if (result != attempt_result::answered)
     {
-        note_open(server, end, began);
+        record_unfinished_attempt(server, result, started);
         return;
     }
-    const whole_answer given{{server.id, server.born}, m_state.self};
+    const whole_answer evidence{{server.id, server.born}, m_state.self};
     const auto now = gateway_state::now();
     if (m_suspect)
     {
-        m_state.poison.note_whole(m_suspect->print, given, now);
+        m_state.poison.note_whole(m_suspect->print, evidence, now);
         m_state.poison_news.notify();
     }
     else
     {
-        m_state.poison.note_answered(shape_of(content()), given, now);
+        m_state.poison.note_answered(shape_of(content()), evidence, now);
     }
 }
 
 // It is evidence if the server ends; whether that shows at once, or only when
 // another request comes there, does not hang on who waits for this one.
-void request_flow::note_open(const server_entry& server, attempt_end end,
-                             monotonic::time_point began)
+void request_flow::record_unfinished_attempt(const server_entry& server,
+                                             attempt_result result,
+                                             monotonic::time_point started)
 {
-    const bool is_broken = end == attempt_end::broken;
-    const bool is_open =
-        is_broken || end == attempt_end::abandoned || end == attempt_end::late;
-    if (!is_open || !m_was_sent)
+    const bool is_broken = result == attempt_result::broken;
+    const bool is_unfinished = is_broken ||
+                               result == attempt_result::abandoned ||
+                               result == attempt_result::late;
+    if (!is_unfinished || !m_was_sent)
     {
         return;
     }
     const auto request = m_suspect.value_or(suspect_request{
         print_of(content()), shape_of(content()), m_service->name});
-    m_state.ends.note_open(server, request, gateway_state::to_time(began));
+    m_state.crashes.record_unfinished_attempt(server, request,
+                                              gateway_state::to_time(started));
     if (is_broken)
     {
         m_suspect = request;
-        m_state.ends.ask_soon(server, end_sign::broken);
+        m_state.crashes.start_probe(server, crash_sign::broken);
     }
 }
 
--- a/services/gateway/request_relay.cpp
+++ b/services/gateway/request_relay.cpp
@@ -12,9 +12,9 @@
 {
 
 // A server that has not answered within a pause this long is passed over.
-constexpr milliseconds longest_gap{2500};
+constexpr milliseconds max_event_gap{2500};
 // A longer answer is passed on before it is whole.
-constexpr std::size_t most_buffered = 262144;
+constexpr std::size_t max_buffered_bytes = 262144;
 
 bool is_event_stream(const response_head& head)
 {
@@ -24,26 +24,26 @@
 
 } // namespace
 
-awaitable<request_flow::attempt_end>
+awaitable<request_flow::attempt_result>
 request_flow::relay(server_exchange& exchange)
 {
     const bool is_good = exchange.head().status < http_status::bad_request;
     if (is_good && is_event_stream(exchange.head()))
     {
-        co_return co_await relay_events(exchange);
+        co_return co_await relay_event_stream(exchange);
     }
-    if (m_answer.has_begun())
+    if (m_response.has_begun())
     {
         // A stream goes on here, and this is none.
-        co_return attempt_end::broken;
+        co_return attempt_result::broken;
     }
-    co_return co_await relay_whole(exchange);
+    co_return co_await relay_body(exchange);
 }
 
-awaitable<request_flow::attempt_end>
-request_flow::relay_whole(server_exchange& exchange)
+awaitable<request_flow::attempt_result>
+request_flow::relay_body(server_exchange& exchange)
 {
-    count_begun();
+    count_usage();
     std::string body;
     while (true)
     {
@@ -51,7 +51,7 @@
         if (state == exchange_state::piece)
         {
             body += exchange.take_piece();
-            if (body.size() <= most_buffered)
+            if (body.size() <= max_buffered_bytes)
             {
                 continue;
             }
@@ -59,101 +59,105 @@
             body.clear();
             if (!is_sent)
             {
-                co_return attempt_end::abandoned;
+                co_return attempt_result::abandoned;
             }
             continue;
         }
         if (m_is_cancelled)
         {
-            co_return attempt_end::abandoned;
+            co_return attempt_result::abandoned;
         }
         if (state != exchange_state::complete)
         {
-            co_return state == exchange_state::late ? attempt_end::late
-                                                    : attempt_end::broken;
+            co_return state == exchange_state::timed_out
+                ? attempt_result::late
+                : attempt_result::broken;
         }
         break;
     }
-    if (m_answer.has_begun())
+    if (m_response.has_begun())
     {
-        co_await m_answer.add(body);
-        const bool is_sent = co_await m_answer.finish();
-        co_return is_sent ? attempt_end::answered : attempt_end::abandoned;
+        co_await m_response.append(body);
+        const bool is_sent = co_await m_response.finish();
+        co_return is_sent ? attempt_result::answered
+                          : attempt_result::abandoned;
     }
     const auto status = exchange.head().status;
     if (status >= http_status::first_server_error && may_repeat(*m_route) &&
         status != http_status::gateway_timeout)
     {
-        m_error_answer.emplace(exchange.head(), std::move(body));
-        co_return attempt_end::server_error;
+        m_error_response.emplace(exchange.head(), std::move(body));
+        co_return attempt_result::server_error;
     }
     const bool is_sent =
-        co_await m_answer.send_whole(exchange.head(), std::move(body));
-    co_return is_sent ? attempt_end::answered : attempt_end::abandoned;
+        co_await m_response.send_complete(exchange.head(), std::move(body));
+    co_return is_sent ? attempt_result::answered : attempt_result::abandoned;
 }
 
-awaitable<request_flow::attempt_end>
-request_flow::relay_events(server_exchange& exchange)
+awaitable<request_flow::attempt_result>
+request_flow::relay_event_stream(server_exchange& exchange)
 {
-    if (!m_weights)
+    if (!m_weights_version)
     {
-        m_weights = platform::weights_version(exchange.head().fields);
+        m_weights_version = platform::weights_version(exchange.head().fields);
     }
-    count_begun();
+    count_usage();
     event_splitter splitter;
     const auto first_at = monotonic::now();
     const auto before = m_last_event.value_or(0);
     while (true)
     {
-        const auto until = std::min(m_deadline, monotonic::now() + longest_gap);
+        const auto until =
+            std::min(m_deadline, monotonic::now() + max_event_gap);
         const auto state = co_await exchange.read_piece(until);
         if (m_is_cancelled)
         {
-            co_return attempt_end::abandoned;
+            co_return attempt_result::abandoned;
         }
         if (state == exchange_state::piece)
         {
             splitter.add(exchange.take_piece());
-            bool is_sound = true;
+            bool is_in_order = true;
             const bool is_taken =
-                co_await forward_events(splitter, exchange.head(), is_sound);
+                co_await forward_events(splitter, exchange.head(), is_in_order);
             if (!is_taken)
             {
-                co_return attempt_end::abandoned;
+                co_return attempt_result::abandoned;
             }
-            if (!is_sound)
+            if (!is_in_order)
             {
-                co_return attempt_end::broken;
+                co_return attempt_result::broken;
             }
             continue;
         }
-        if (state == exchange_state::late)
+        if (state == exchange_state::timed_out)
         {
             if (monotonic::now() >= m_deadline)
             {
-                co_return attempt_end::late;
+                co_return attempt_result::late;
             }
             // Silence alone ends nothing that cannot go on elsewhere.
             if (m_route->is_resumable && m_attempts < m_route->max_attempts)
             {
-                co_return attempt_end::broken;
+                co_return attempt_result::broken;
             }
             continue;
         }
         if (state == exchange_state::failed || splitter.has_partial() ||
-            !exchange.is_framed() || !m_answer.has_begun())
+            !exchange.is_framed() || !m_response.has_begun())
         {
-            co_return attempt_end::broken;
+            co_return attempt_result::broken;
         }
         const auto events = m_last_event.value_or(0) - before;
         const auto time = monotonic::now() - first_at;
-        learn_generating(events, time);
+        record_generation_time(events, time);
         if (events > 1)
         {
             m_seen.gap_ms = to_ms(time) / static_cast<double>(events - 1);
         }
-        const bool is_sent = co_await m_answer.finish();
-        co_return is_sent ? attempt_end::answered : attempt_end::abandoned;
+        const bool is_sent = co_await m_response.finish();
+        co_return is_sent ? attempt_result::answered
+                          : attempt_result::abandoned;
     }
 }
 
@@ -162,7 +166,7 @@
 // @return whether the client takes them
 awaitable<bool> request_flow::forward_events(event_splitter& splitter,
                                              const response_head& head,
-                                             bool& is_sound)
+                                             bool& is_in_order)
 {
     std::string bytes;
     while (auto event = splitter.next())
@@ -175,7 +179,7 @@
             }
             if (m_last_event && *event->id != *m_last_event + 1)
             {
-                is_sound = false;
+                is_in_order = false;
                 break;
             }
             m_last_event = event->id;
@@ -193,11 +197,11 @@
 awaitable<bool> request_flow::send_piece(const response_head& head,
                                          std::string_view bytes)
 {
-    if (m_answer.has_begun())
+    if (m_response.has_begun())
     {
-        co_return co_await m_answer.add(bytes);
+        co_return co_await m_response.append(bytes);
     }
-    co_return co_await m_answer.begin(head, bytes);
+    co_return co_await m_response.begin(head, bytes);
 }
 
 } // namespace daleshelf
--- a/services/gateway/server_connection.cpp
+++ b/services/gateway/server_connection.cpp
@@ -10,12 +10,13 @@
 {
 
 // A request may meet the server's own close if it comes this late.
-constexpr milliseconds close_margin{900};
+constexpr milliseconds idle_close_margin{900};
 constexpr milliseconds default_idle_limit{4000};
 // Requests that may run only once take younger connections.
 constexpr milliseconds unrepeatable_idle_limit{1500};
 
-void set_number(asio::ip::tcp::socket& socket, int level, int name, int value)
+void set_integer_option(asio::ip::tcp::socket& socket, int level, int name,
+                        int value)
 {
     ::setsockopt(socket.native_handle(), level, name, &value, sizeof value);
 }
@@ -24,8 +25,8 @@
                               bool is_repeatable)
 {
     const auto limit = connection.idle_limit.count() > 0
-                           ? connection.idle_limit - close_margin
-                           : default_idle_limit - close_margin;
+                           ? connection.idle_limit - idle_close_margin
+                           : default_idle_limit - idle_close_margin;
     return is_repeatable ? limit : std::min(limit, unrepeatable_idle_limit);
 }
 
@@ -45,16 +46,16 @@
     {
         auto& newest = connections.back();
         const auto age = now - newest->idle_since;
-        const bool is_sound = newest->channel->is_quiet();
-        if (is_sound && age > usable_idle_time(*newest, is_repeatable))
+        const bool is_usable = newest->channel->is_idle();
+        if (is_usable && age > usable_idle_time(*newest, is_repeatable))
         {
             // The others are older still.
             return nullptr;
         }
         auto taken = std::move(newest);
         connections.pop_back();
-        taken->channel->set_end_handler(nullptr);
-        if (is_sound)
+        taken->channel->set_close_handler(nullptr);
+        if (is_usable)
         {
             return taken;
         }
@@ -73,14 +74,14 @@
         co_return nullptr;
     }
     const auto id = server.id;
-    ++m_made;
+    ++m_connections_made;
     const auto result =
         co_await connect_channel(m_context, *endpoint, deadline);
     if (result.channel == nullptr)
     {
         if (result.is_refused)
         {
-            tell_end(id, true);
+            notify_failure(id, true);
         }
         co_return nullptr;
     }
@@ -92,14 +93,14 @@
 
 void connection_pool::keep(std::unique_ptr<server_connection> connection)
 {
-    if (!connection->channel->is_quiet())
+    if (!connection->channel->is_idle())
     {
         connection->channel->close();
         return;
     }
     connection->idle_since = monotonic::now();
-    connection->channel->set_end_handler([this, server = connection->server]
-                                         { tell_end(server, false); });
+    connection->channel->set_close_handler([this, server = connection->server]
+                                           { notify_failure(server, false); });
     m_idle[connection->server].push_back(std::move(connection));
 }
 
@@ -110,14 +111,14 @@
         std::erase_if(connections,
                       [&](const auto& connection)
                       {
-                          const bool is_old =
+                          const bool is_expired =
                               now - connection->idle_since >
                               usable_idle_time(*connection, true);
-                          if (connection->channel->is_quiet() && !is_old)
+                          if (connection->channel->is_idle() && !is_expired)
                           {
                               return false;
                           }
-                          connection->channel->set_end_handler(nullptr);
+                          connection->channel->set_close_handler(nullptr);
                           connection->channel->close();
                           return true;
                       });
@@ -135,17 +136,17 @@
     }
     for (auto& connection : found->second)
     {
-        connection->channel->set_end_handler(nullptr);
+        connection->channel->set_close_handler(nullptr);
         connection->channel->close();
     }
     m_idle.erase(found);
 }
 
-void connection_pool::tell_end(const upstream_id& server, bool is_refused)
+void connection_pool::notify_failure(const upstream_id& server, bool is_refused)
 {
-    if (m_end_listener)
+    if (m_failure_listener)
     {
-        m_end_listener(server, is_refused);
+        m_failure_listener(server, is_refused);
     }
 }
 
@@ -204,12 +205,13 @@
 {
     constexpr int unacknowledged_ms = 1200;
     constexpr int idle_seconds = 1;
-    constexpr int probes = 2;
-    set_number(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_ms);
-    set_number(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
-    set_number(socket, IPPROTO_TCP, TCP_KEEPIDLE, idle_seconds);
-    set_number(socket, IPPROTO_TCP, TCP_KEEPINTVL, 1);
-    set_number(socket, IPPROTO_TCP, TCP_KEEPCNT, probes);
+    constexpr int probe_count = 2;
+    set_integer_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
+                       unacknowledged_ms);
+    set_integer_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
+    set_integer_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, idle_seconds);
+    set_integer_option(socket, IPPROTO_TCP, TCP_KEEPINTVL, 1);
+    set_integer_option(socket, IPPROTO_TCP, TCP_KEEPCNT, probe_count);
 }
 
 } // namespace daleshelf
--- a/services/gateway/server_connection.hpp
+++ b/services/gateway/server_connection.hpp
@@ -28,16 +28,16 @@
 class connection_pool
 {
 public:
-    using end_listener =
+    using failure_listener =
         std::function<void(const upstream_id& server, bool is_refused)>;
 
     explicit connection_pool(asio::io_context& context) : m_context(context) {}
 
     /// Sets who hears that a server refuses a connection, or has ended one
     /// that was kept.
-    void set_end_listener(end_listener listener)
+    void set_failure_listener(failure_listener listener)
     {
-        m_end_listener = std::move(listener);
+        m_failure_listener = std::move(listener);
     }
 
     /// @param is_repeatable whether the request may be sent again if the
@@ -61,18 +61,18 @@
 
     [[nodiscard]] std::int64_t connections_made() const
     {
-        return m_made;
+        return m_connections_made;
     }
 
 private:
-    void tell_end(const upstream_id& server, bool is_refused);
+    void notify_failure(const upstream_id& server, bool is_refused);
 
     asio::io_context& m_context;
-    end_listener m_end_listener;
+    failure_listener m_failure_listener;
     absl::flat_hash_map<upstream_id,
                         std::vector<std::unique_ptr<server_connection>>>
         m_idle;
-    std::int64_t m_made = 0;
+    std::int64_t m_connections_made = 0;
 };
 
 /// @param text IP:PORT
--- a/services/gateway/server_exchange.cpp
+++ b/services/gateway/server_exchange.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr std::uint32_t answer_head_bytes = 65536;
-constexpr milliseconds connect_time{350};
+constexpr std::uint32_t max_head_bytes = 65536;
+constexpr milliseconds connect_timeout{350};
 // A server that does not read may have begun to leave when it does.
-constexpr milliseconds send_time{1500};
+constexpr milliseconds send_timeout{1500};
 
 } // namespace
 
@@ -66,14 +66,14 @@
                 co_return exchange_state::complete;
             }
             const auto& channel = *m_connection->channel;
-            if (channel.end() == channel_end::finished)
+            if (channel.connection_state() == channel_state::finished)
             {
                 // What is left of the input is no whole chunk.
                 m_parser->feed_end();
                 release();
                 co_return exchange_state::complete;
             }
-            if (channel.end() == channel_end::broken)
+            if (channel.connection_state() == channel_state::broken)
             {
                 co_return fail();
             }
@@ -86,7 +86,7 @@
             co_await m_connection->channel->wait_input(until);
         if (!has_input)
         {
-            co_return exchange_state::late;
+            co_return exchange_state::timed_out;
         }
     }
 }
@@ -107,7 +107,7 @@
     {
         m_connection = co_await m_pool.connect(
             m_request.server,
-            std::min(m_request.deadline, monotonic::now() + connect_time));
+            std::min(m_request.deadline, monotonic::now() + connect_timeout));
     }
     co_return m_connection != nullptr && !m_is_cancelled;
 }
@@ -115,7 +115,7 @@
 awaitable<bool> server_exchange::send()
 {
     const auto until =
-        std::min(m_request.deadline, monotonic::now() + send_time);
+        std::min(m_request.deadline, monotonic::now() + send_timeout);
     const auto result =
         co_await m_connection->channel->write(m_request.bytes, until);
     if (result.size > 0)
@@ -147,7 +147,7 @@
         {
             co_return fail();
         }
-        if (m_connection->channel->end() != channel_end::open)
+        if (m_connection->channel->connection_state() != channel_state::open)
         {
             co_return fail();
         }
@@ -155,15 +155,15 @@
             co_await m_connection->channel->wait_input(m_request.deadline);
         if (!has_input)
         {
-            co_return exchange_state::late;
+            co_return exchange_state::timed_out;
         }
     }
 }
 
 void server_exchange::make_parser()
 {
-    m_parser = std::make_unique<response_parser>(answer_head_bytes);
-    if (m_request.has_no_answer_body)
+    m_parser = std::make_unique<response_parser>(max_head_bytes);
+    if (m_request.has_no_response_body)
     {
         m_parser->expect_no_body();
     }
@@ -176,7 +176,7 @@
     auto& channel = *m_connection->channel;
     while (true)
     {
-        const bool had_head = m_parser->has_head() && !m_is_foreign;
+        const bool had_head = m_parser->has_head() && !m_is_unrelated;
         if (!m_parser->is_complete())
         {
             channel.consume(m_parser->feed(channel.input()));
@@ -190,16 +190,17 @@
             return true;
         }
         // 1. A new head: whose is it?
-        if (!m_is_foreign)
+        if (!m_is_unrelated)
         {
             m_head = m_parser->take_head();
             const auto answered = platform::answered_id(m_head.fields);
-            m_is_foreign = (answered && *answered != m_request.id) ||
-                           (m_head.status >= http_status::first_informational &&
-                            m_head.status < http_status::ok);
-            note(platform::read_notice(m_head), m_is_foreign);
+            m_is_unrelated =
+                (answered && *answered != m_request.id) ||
+                (m_head.status >= http_status::first_informational &&
+                 m_head.status < http_status::ok);
+            merge_notice(platform::read_notice(m_head), m_is_unrelated);
         }
-        if (!m_is_foreign)
+        if (!m_is_unrelated)
         {
             return true;
         }
@@ -210,16 +211,16 @@
             return false;
         }
         make_parser();
-        m_is_foreign = false;
+        m_is_unrelated = false;
     }
 }
 
 // An answer to an earlier request may be older than the limit that is known.
-void server_exchange::note(const platform::server_notice& notice,
-                           bool is_foreign)
+void server_exchange::merge_notice(const platform::server_notice& notice,
+                                   bool is_unrelated)
 {
     m_notice.limit = notice.limit ? notice.limit : m_notice.limit;
-    m_notice.ends_limit = notice.ends_limit && !is_foreign;
+    m_notice.ends_limit = notice.ends_limit && !is_unrelated;
     m_notice.has_faulty_limit =
         m_notice.has_faulty_limit || notice.has_faulty_limit;
     m_notice.is_leaving = m_notice.is_leaving || notice.is_leaving;
@@ -242,10 +243,10 @@
 // The answer has ended in order: keeps the connection if that is sound.
 void server_exchange::release()
 {
-    const bool may_keep = m_is_framed &&
-                          keeps_connection(m_head.fields, m_head.version) &&
-                          m_connection->channel->is_quiet();
-    if (!may_keep)
+    const bool is_reusable = m_is_framed &&
+                             keeps_connection(m_head.fields, m_head.version) &&
+                             m_connection->channel->is_idle();
+    if (!is_reusable)
     {
         m_connection->channel->close();
         return;
--- a/services/gateway/server_exchange.hpp
+++ b/services/gateway/server_exchange.hpp
@@ -17,8 +17,8 @@
 /// What is sent to a server.
 struct server_request
 {
-    server_request(send_permit right, server_entry to)
-        : permit(std::move(right)), server(std::move(to))
+    server_request(send_permit issued_permit, server_entry target)
+        : permit(std::move(issued_permit)), server(std::move(target))
     {
     }
 
@@ -27,18 +27,18 @@
     std::string id;    ///< as the client gave it
     std::string bytes; ///< head and body
     bool is_repeatable = false;
-    bool has_no_answer_body = false; ///< a HEAD request
+    bool has_no_response_body = false; ///< a HEAD request
     monotonic::time_point deadline{};
 };
 
 /// How an exchange has gone so far.
 enum class exchange_state
 {
-    head,     ///< the answer's head is there
-    piece,    ///< bytes of its body are there
-    complete, ///< its body has ended in order
-    failed,   ///< nothing more comes; `verdict` tells what is known
-    late,     ///< the deadline has passed
+    head,      ///< the answer's head is there
+    piece,     ///< bytes of its body are there
+    complete,  ///< its body has ended in order
+    failed,    ///< nothing more comes; `verdict` tells what is known
+    timed_out, ///< the deadline has passed
 };
 
 /// Sends one request to one server and reads its answer. Answers that belong
@@ -103,7 +103,7 @@
     awaitable<exchange_state> read_head();
     void make_parser();
     bool parse_input();
-    void note(const platform::server_notice& notice, bool is_foreign);
+    void merge_notice(const platform::server_notice& notice, bool is_unrelated);
     exchange_state fail();
     void release();
 
@@ -117,7 +117,7 @@
     verdict m_verdict = verdict::not_run;
     bool m_is_framed = false;
     bool m_is_cancelled = false;
-    bool m_is_foreign = false; ///< the answer being read is another request's
+    bool m_is_unrelated = false; ///< the answer being read is another request's
 };
 
 } // namespace daleshelf
--- a/services/gateway/server_notices.cpp
+++ b/services/gateway/server_notices.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-void heed_leaving(gateway_state& state, const server_entry& server)
+void apply_leaving(gateway_state& state, const server_entry& server)
 {
-    const bool is_news = state.servers.note_leaving(server.life());
-    if (!is_news)
+    const bool is_new = state.servers.note_leaving(server.life());
+    if (!is_new)
     {
         return;
     }
@@ -25,15 +25,15 @@
 
 } // namespace
 
-void heed(gateway_state& state, const server_entry& server,
-          const platform::server_notice& notice, absl::Time sent_at)
+void apply_notice(gateway_state& state, const server_entry& server,
+                  const platform::server_notice& notice, absl::Time sent_at)
 {
     state.limits.record_answer(server, notice, sent_at);
     // The list may be silent for longer than a server takes to leave: its own
     // word came up to 12 s before the list's.
     if (notice.is_leaving)
     {
-        heed_leaving(state, server);
+        apply_leaving(state, server);
     }
     if (notice.rest)
     {
--- a/services/gateway/server_notices.hpp
+++ b/services/gateway/server_notices.hpp
@@ -14,7 +14,7 @@
 /// names it.
 /// @param server as it was known when the request was sent to it
 /// @param sent_at when that was, monotonic
-void heed(gateway_state& state, const server_entry& server,
-          const platform::server_notice& notice, absl::Time sent_at);
+void apply_notice(gateway_state& state, const server_entry& server,
+                  const platform::server_notice& notice, absl::Time sent_at);
 
 } // namespace daleshelf
--- a/services/gateway/small_server.cpp
+++ b/services/gateway/simple_http_server.cpp
@@ -1,4 +1,4 @@
-#include "small_server.hpp"
+#include "simple_http_server.hpp"
 
 #include "server_connection.hpp"
 
@@ -12,10 +12,10 @@
 namespace
 {
 
-constexpr std::uint32_t head_bytes = 8192;
-constexpr std::uint64_t body_bytes = 65536;
-constexpr std::chrono::seconds idle_time{30};
-constexpr milliseconds accept_pause{100};
+constexpr std::uint32_t max_head_bytes = 8192;
+constexpr std::uint64_t max_body_bytes = 65536;
+constexpr std::chrono::seconds idle_timeout{30};
+constexpr milliseconds accept_retry_delay{100};
 
 } // namespace
 
@@ -30,27 +30,29 @@
     return asio::ip::tcp::acceptor(context, *endpoint);
 }
 
-small_server::small_server(asio::io_context& context,
-                           const std::string& address, handler answer)
-    : m_acceptor(open_acceptor(context, address)), m_answer(std::move(answer))
+simple_http_server::simple_http_server(asio::io_context& context,
+                                       const std::string& address,
+                                       handler handle_request)
+    : m_acceptor(open_acceptor(context, address))
+    , m_handler(std::move(handle_request))
 {
 }
 
-void small_server::start()
+void simple_http_server::start()
 {
     asio::co_spawn(
         m_acceptor.get_executor(), [this] { return accept_all(); },
         asio::detached);
 }
 
-awaitable<void> small_server::accept_all()
+awaitable<void> simple_http_server::accept_all()
 {
     while (m_acceptor.is_open())
     {
         auto [error, socket] = co_await m_acceptor.async_accept(use_result);
         if (error)
         {
-            boot_timer pause(m_acceptor.get_executor(), accept_pause);
+            boot_timer pause(m_acceptor.get_executor(), accept_retry_delay);
             co_await pause.async_wait(use_result);
             continue;
         }
@@ -63,14 +65,14 @@
     }
 }
 
-awaitable<void> small_server::serve(asio::ip::tcp::socket socket)
+awaitable<void> simple_http_server::serve(asio::ip::tcp::socket socket)
 {
     const auto channel = std::make_shared<byte_channel>(std::move(socket));
     channel->start();
-    bool is_kept = true;
-    while (is_kept && channel->end() == channel_end::open)
+    bool is_kept_alive = true;
+    while (is_kept_alive && channel->connection_state() == channel_state::open)
     {
-        request_parser parser(head_bytes, body_bytes);
+        request_parser parser(max_head_bytes, max_body_bytes);
         try
         {
             while (!parser.is_complete())
@@ -80,9 +82,10 @@
                 {
                     break;
                 }
-                const bool has_input =
-                    co_await channel->wait_input(monotonic::now() + idle_time);
-                if (!has_input || channel->end() != channel_end::open)
+                const bool has_input = co_await channel->wait_input(
+                    monotonic::now() + idle_timeout);
+                if (!has_input ||
+                    channel->connection_state() != channel_state::open)
                 {
                     channel->close();
                     co_return;
@@ -94,17 +97,18 @@
             break;
         }
         const auto head = parser.take_head();
-        is_kept = keeps_connection(head.fields, head.version);
-        const auto answer = m_answer(head.target);
+        is_kept_alive = keeps_connection(head.fields, head.version);
+        const auto response = m_handler(head.target);
         std::string bytes;
-        write_status_line(bytes, answer.status, reason_phrase(answer.status));
-        write_field(bytes, "Content-Type", answer.content_type);
+        write_status_line(bytes, response.status,
+                          reason_phrase(response.status));
+        write_field(bytes, "Content-Type", response.content_type);
         write_field(bytes, "Content-Length",
-                    std::to_string(answer.body.size()));
+                    std::to_string(response.body.size()));
         write_head_end(bytes);
-        bytes += answer.body;
+        bytes += response.body;
         const auto sent = co_await channel->write(bytes);
-        is_kept = is_kept && sent.is_complete;
+        is_kept_alive = is_kept_alive && sent.is_complete;
     }
     channel->close();
 }
--- a/services/gateway/small_server.hpp
+++ b/services/gateway/simple_http_server.hpp
@@ -11,7 +11,7 @@
 {
 
 /// Answer to a short question.
-struct short_answer
+struct simple_response
 {
     int status = 0;
     std::string body;
@@ -24,14 +24,14 @@
                                                     const std::string& address);
 
 /// Serves GET requests by a function of their target.
-class small_server
+class simple_http_server
 {
 public:
-    using handler = std::function<short_answer(const std::string& target)>;
+    using handler = std::function<simple_response(const std::string& target)>;
 
     /// @param address IP:PORT
-    small_server(asio::io_context& context, const std::string& address,
-                 handler answer);
+    simple_http_server(asio::io_context& context, const std::string& address,
+                       handler handle_request);
 
     /// Begins to accept connections.
     void start();
@@ -41,7 +41,7 @@
     awaitable<void> serve(asio::ip::tcp::socket socket);
 
     asio::ip::tcp::acceptor m_acceptor;
-    handler m_answer;
+    handler m_handler;
 };
 
 } // namespace daleshelf
--- a/services/gateway/topic_sharing.cpp
+++ b/services/gateway/topic_sharing.cpp
@@ -220,7 +220,7 @@
         asio::detached);
 }
 
-short_answer topic_sharing::answer(const std::string& target)
+simple_response topic_sharing::answer(const std::string& target)
 {
     if (!target.starts_with(records_target))
     {
--- a/services/gateway/topic_sharing.hpp
+++ b/services/gateway/topic_sharing.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "gateway_state.hpp"
-#include "small_server.hpp"
+#include "simple_http_server.hpp"
 #include "topic_follower.hpp"
 
 #include <functional>
@@ -46,7 +46,7 @@
     void fetch_news();
 
     /// @return the records of the topic that a peer asks for
-    [[nodiscard]] short_answer answer(const std::string& target);
+    [[nodiscard]] simple_response answer(const std::string& target);
 
 private:
     /// How long a peer may know a record before it is asked for it: the store
--- a/services/gateway/upstream_limiter.cpp
+++ b/services/gateway/upstream_limiter.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-constexpr std::size_t most_faulty = 1024;
-std::string text_of(const std::optional<double>& limit)
+constexpr std::size_t max_unreadable = 1024;
+std::string format_limit(const std::optional<double>& limit)
 {
     return limit ? std::to_string(*limit) : "none";
 }
@@ -26,7 +26,7 @@
 {
     if (notice.has_faulty_limit)
     {
-        log_faulty(server);
+        log_unreadable(server);
     }
     if (!notice.limit && !notice.ends_limit)
     {
@@ -79,7 +79,7 @@
     }
 }
 
-absl::Duration upstream_limiter::reserve_return(const service_name& service)
+absl::Duration upstream_limiter::reserve_retry(const service_name& service)
 {
     double per_second = 0;
     for (const auto* server : m_state.servers.usable(service))
@@ -87,7 +87,7 @@
         per_second += limit_of(server->life()).value_or(0);
     }
     const auto hosts = static_cast<double>(m_state.quota.shared().fleet_size());
-    return m_returns[service].reserve(per_second / hosts, gateway_state::now());
+    return m_retries[service].reserve(per_second / hosts, gateway_state::now());
 }
 
 void upstream_limiter::run_maintenance()
@@ -108,20 +108,20 @@
         gateway_state::now());
 }
 
-void upstream_limiter::log_faulty(const server_entry& server)
+void upstream_limiter::log_unreadable(const server_entry& server)
 {
-    const auto known = m_faulty.find(server.id);
+    const auto known = m_unreadable.find(server.id);
     const bool is_logged =
-        known != m_faulty.end() && known->second == server.born;
+        known != m_unreadable.end() && known->second == server.born;
     if (is_logged)
     {
         return;
     }
-    if (m_faulty.size() >= most_faulty)
+    if (m_unreadable.size() >= max_unreadable)
     {
-        m_faulty.clear();
+        m_unreadable.clear();
     }
-    m_faulty[server.id] = server.born;
+    m_unreadable[server.id] = server.born;
     log(events::upstream_limit_unreadable,
         {{"server", server.id.value()},
          {"born", std::to_string(server.born.value())}});
@@ -134,14 +134,14 @@
     {
         return;
     }
-    const bool is_own = update.origin == limit_origin::answer;
+    const bool is_local = update.origin == limit_origin::answer;
     const auto age = state.time_of_day() - record.named_at;
     log(events::upstream_limit_changed,
         {{"server", record.server.id.value()},
          {"born", std::to_string(record.server.born.value())},
-         {"limit", text_of(record.per_second)},
-         {"before", text_of(update.before)},
-         {"origin", is_own ? "answer" : "peer"},
+         {"limit", format_limit(record.per_second)},
+         {"before", format_limit(update.before)},
+         {"origin", is_local ? "answer" : "peer"},
          {"age_ms", std::to_string(absl::ToInt64Milliseconds(age))}});
     state.choice.pass_over(record.server, absl::InfinitePast());
 }
--- a/services/gateway/upstream_limiter.hpp
+++ b/services/gateway/upstream_limiter.hpp
@@ -50,23 +50,23 @@
     /// Reserves the time at which a rejected request may be tried again: those
     /// that come back are spread over what the service's limits allow.
     /// @return the time from now on
-    [[nodiscard]] absl::Duration reserve_return(const service_name& service);
+    [[nodiscard]] absl::Duration reserve_retry(const service_name& service);
 
     /// Logs what has happened since the last call, and forgets upstreams that
     /// are gone; to be called about twice a second.
     void run_maintenance();
 
 private:
-    static constexpr std::size_t most_named = 16;
+    static constexpr std::size_t max_named = 16;
 
-    void log_faulty(const server_entry& server);
+    void log_unreadable(const server_entry& server);
 
     gateway_state& m_state;
     /// Upstreams whose limit could not be read, and which start of them.
-    absl::flat_hash_map<upstream_id, upstream_birth> m_faulty;
-    absl::flat_hash_map<service_name, return_schedule> m_returns;
+    absl::flat_hash_map<upstream_id, upstream_birth> m_unreadable;
+    absl::flat_hash_map<service_name, return_schedule> m_retries;
     /// Passed over since the last log line.
-    name_batch m_passed_over{most_named};
+    name_batch m_passed_over{max_named};
 };
 
 /// Logs that an upstream has named another limit, and lets the changed limit
--- a/tests/gateway/byte_channel_test.cpp
+++ b/tests/gateway/byte_channel_test.cpp
@@ -84,7 +84,7 @@
     EXPECT_FALSE(result.is_complete);
     EXPECT_GT(result.size, 0U);
     EXPECT_LT(result.size, bytes.size());
-    EXPECT_EQ(m_channel->end(), channel_end::broken);
+    EXPECT_EQ(m_channel->connection_state(), channel_state::broken);
 }
 
 // Bytes that are there before the channel starts are taken from the socket one
@@ -99,7 +99,7 @@
     asio::write(m_peer, asio::buffer(std::string("a request")));
     const auto before = close_after(GetParam());
     EXPECT_EQ(m_channel->input(), before);
-    EXPECT_EQ(m_channel->end(), channel_end::broken);
+    EXPECT_EQ(m_channel->connection_state(), channel_state::broken);
 }
 
 INSTANTIATE_TEST_SUITE_P(steps, closing_channel_test, testing::Range(0, 6));
--- a/tests/gateway/server_ends_test.cpp
+++ b/tests/gateway/crash_detector_test.cpp
@@ -59,10 +59,10 @@
     scripted_server m_server; // ends first: its threads use the others
 };
 
-class server_ends : public gateway_fixture
+class crash_detector : public gateway_fixture
 {
 protected:
-    server_ends()
+    crash_detector()
     {
         configure();
     }
@@ -84,7 +84,7 @@
     }
 
     /// Asks, and leaves once the server has read the request.
-    void ask_and_leave(const std::string& path, silent_server& server)
+    void request_and_disconnect(const std::string& path, silent_server& server)
     {
         const auto client = connect();
         client->send(request_for(path));
@@ -94,19 +94,19 @@
     }
 };
 
-TEST_F(server_ends, a_request_whose_caller_left_before_the_end_is_suspected)
+TEST_F(crash_detector, a_request_whose_caller_left_before_the_end_is_suspected)
 {
     silent_server server;
     add_server("a", server.server());
-    ask_and_leave("/unsafe/deadly", server);
+    request_and_disconnect("/unsafe/deadly", server);
     EXPECT_FALSE(is_suspected("/unsafe/deadly"));
     server.server().end();
-    EXPECT_TRUE(ask("/unsafe/other").starts_with("HTTP/1.1 503 "));
+    EXPECT_TRUE(fetch("/unsafe/other").starts_with("HTTP/1.1 503 "));
     EXPECT_TRUE(is_suspected("/unsafe/deadly"));
     EXPECT_FALSE(is_suspected("/unsafe/other")) << "it has never run";
 }
 
-TEST_F(server_ends, a_request_whose_time_was_over_is_suspected)
+TEST_F(crash_detector, a_request_whose_time_was_over_is_suspected)
 {
     silent_server server;
     add_server("a", server.server());
@@ -116,13 +116,13 @@
     EXPECT_TRUE(client->read_message().starts_with("HTTP/1.1 504 "));
     server.wait_until_left();
     server.server().end();
-    EXPECT_TRUE(ask("/unsafe/other").starts_with("HTTP/1.1 503 "));
+    EXPECT_TRUE(fetch("/unsafe/other").starts_with("HTTP/1.1 503 "));
     EXPECT_TRUE(is_suspected("/unsafe/deadly"));
 }
 
 // Nobody else asks for anything there: what shows the end is a connection that
 // is kept for the next request.
-TEST_F(server_ends, a_kept_connection_that_ends_shows_it)
+TEST_F(crash_detector, a_kept_connection_that_ends_shows_it)
 {
     std::promise<void> read;
     std::promise<void> left;
@@ -132,7 +132,7 @@
             const auto first = connection.read_message();
             if (!first.starts_with("GET /unsafe/deadly "))
             {
-                connection.send(plain_answer(id_of(first), "good"));
+                connection.send(make_response(id_of(first), "good"));
                 connection.read_all();
                 return;
             }
@@ -144,7 +144,7 @@
     const auto client = connect();
     client->send(request_for("/unsafe/deadly"));
     read.get_future().wait();
-    EXPECT_TRUE(ask("/unsafe/other").ends_with("good"));
+    EXPECT_TRUE(fetch("/unsafe/other").ends_with("good"));
     client->close();
     left.get_future().wait();
     server.end();
@@ -156,7 +156,8 @@
 
 // At a server that nobody else uses nothing shows the end: where a request is
 // suspected already, the host asks by itself, and sends it nowhere else before.
-TEST_F(server_ends, a_suspect_that_was_let_go_is_under_way_until_its_end_shows)
+TEST_F(crash_detector,
+       a_suspect_that_was_let_go_is_under_way_until_its_end_shows)
 {
     const auto path = "/unsafe/deadly";
     const auto print = print_of(content_of(path));
@@ -171,7 +172,7 @@
         });
     silent_server server;
     add_server("a", server.server());
-    ask_and_leave(path, server);
+    request_and_disconnect(path, server);
     server.server().end();
     bool is_under_way = false;
     on_loop([&] { is_under_way = m_state.suspects.has(print); });
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -182,7 +182,7 @@
         ++m_count;
         const auto connection =
             std::make_shared<test_connection>(std::move(*socket));
-        connection->count_into(m_requests);
+        connection->set_message_counter(m_requests);
         {
             const std::lock_guard lock(m_mutex);
             m_open.push_back(connection);
@@ -296,7 +296,8 @@
     return std::make_unique<test_connection>(std::move(socket));
 }
 
-std::string gateway_fixture::ask(const std::string& path, const std::string& id)
+std::string gateway_fixture::fetch(const std::string& path,
+                                   const std::string& id)
 {
     const auto client = connect();
     client->send(request_for(path, id));
@@ -327,8 +328,8 @@
     }
 }
 
-std::string plain_answer(const std::string& id, const std::string& body,
-                         int status)
+std::string make_response(const std::string& id, const std::string& body,
+                          int status)
 {
     return concat("HTTP/1.1 ", status, " Any\r\nX-Attempt-Id: ", id,
                   "\r\nX-Server-Seal: seal\r\nContent-Length: ", body.size(),
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -43,7 +43,7 @@
     }
 
     /// Sets what counts the whole messages that are read.
-    void count_into(std::atomic<int>& messages)
+    void set_message_counter(std::atomic<int>& messages)
     {
         m_messages = &messages;
     }
@@ -140,7 +140,7 @@
     std::unique_ptr<test_connection> connect();
 
     /// Sends one request and reads the whole answer.
-    std::string ask(const std::string& path, const std::string& id = "1");
+    std::string fetch(const std::string& path, const std::string& id = "1");
 
     static std::string request_for(const std::string& path,
                                    const std::string& id = "1");
@@ -156,8 +156,8 @@
 };
 
 /// @return a whole answer with a length, a signature and the request's id
-std::string plain_answer(const std::string& id, const std::string& body,
-                         int status = 200);
+std::string make_response(const std::string& id, const std::string& body,
+                          int status = 200);
 
 /// @return the head of a stream in chunks
 std::string stream_head(const std::string& id,
--- a/tests/gateway/poison_path_test.cpp
+++ b/tests/gateway/poison_path_test.cpp
@@ -79,7 +79,7 @@
                       {
                           return;
                       }
-                      connection.send(plain_answer(id_of(request), "good"));
+                      connection.send(make_response(id_of(request), "good"));
                   }
               })
     {
@@ -165,10 +165,10 @@
     hear_of_an_end(suspect);
     const ending_server ending;
     list(ending, "a");
-    EXPECT_TRUE(ask("/unsafe/deadly").starts_with("HTTP/1.1 502 "));
+    EXPECT_TRUE(fetch("/unsafe/deadly").starts_with("HTTP/1.1 502 "));
     wait_until_proved(suspect.print);
     add_server("c", m_sound);
-    const auto answer = ask("/unsafe/deadly");
+    const auto answer = fetch("/unsafe/deadly");
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
     const auto at = answer.find("Retry-After: ");
     ASSERT_NE(at, std::string::npos) << answer;
@@ -176,7 +176,7 @@
         << "when it is tried again";
     EXPECT_EQ(m_sound.requests(), 0);
     on_loop([&] { m_state.servers.remove(upstream_id("a")); });
-    EXPECT_TRUE(ask("/unsafe/other").ends_with("good"));
+    EXPECT_TRUE(fetch("/unsafe/other").ends_with("good"));
 }
 
 // The model of the fleet holds such a request as well: rejecting it at once
@@ -196,7 +196,7 @@
                                                  gateway_state::now()));
             merge_other_crashes_later();
         });
-    EXPECT_TRUE(ask("/unsafe/popular").ends_with("good"));
+    EXPECT_TRUE(fetch("/unsafe/popular").ends_with("good"));
     EXPECT_EQ(m_sound.requests(), 1);
 }
 
@@ -205,7 +205,7 @@
     const scripted_server closing([](test_connection& connection)
                                   { connection.read_message(); });
     add_server("a", closing);
-    ask("/unsafe/x");
+    fetch("/unsafe/x");
     // The check comes as a connection of its own.
     while (closing.connections() < 2)
     {
@@ -228,13 +228,13 @@
             auto entry = *m_state.servers.find(upstream_id("a"));
             entry.is_draining = true;
             m_state.servers.set(entry);
-            m_state.ends.note_open(
+            m_state.crashes.record_unfinished_attempt(
                 entry, {request_print("p"), 1, service_name("service")},
                 gateway_state::now() - absl::Seconds(1));
             asio::co_spawn(
                 m_context,
                 [&, entry]
-                { return m_state.ends.ask(entry, end_sign::broken); },
+                { return m_state.crashes.probe(entry, crash_sign::broken); },
                 [&](const std::exception_ptr&)
                 { is_blamed = m_state.poison.size() > 0; });
         });
--- a/tests/gateway/policy_test.cpp
+++ b/tests/gateway/policy_test.cpp
@@ -43,7 +43,7 @@
 {
     configure();
     make_engines();
-    const scripted_server server(answering_once(plain_answer("1", "body")));
+    const scripted_server server(answering_once(make_response("1", "body")));
     add_server("a", server);
     on_loop(
         [&]
@@ -51,13 +51,13 @@
             m_state.choice.set_peer_load(
                 host_id("peer"), {{upstream_id("a"), server_load{100, 0}}});
         });
-    const auto answer = ask("/stream/x");
+    const auto answer = fetch("/stream/x");
     EXPECT_TRUE(has(answer, "HTTP/1.1 503 ")) << answer;
     EXPECT_TRUE(has(answer, "Retry-After: ")) << answer;
     EXPECT_EQ(server.connections(), 0);
     // Switched off, it is tried.
     on_loop([&] { m_state.settings.refuses_hopeless = false; });
-    EXPECT_TRUE(ask("/stream/x").ends_with("body"));
+    EXPECT_TRUE(fetch("/stream/x").ends_with("body"));
 }
 
 TEST_F(policy, without_retries_a_safe_request_is_tried_once)
@@ -68,7 +68,7 @@
     const scripted_server two(answering_once(""));
     add_server("a", one);
     add_server("b", two);
-    EXPECT_TRUE(has(ask("/safe/x"), "HTTP/1.1 502 "));
+    EXPECT_TRUE(has(fetch("/safe/x"), "HTTP/1.1 502 "));
     EXPECT_EQ(one.requests() + two.requests(), 1);
 }
 
@@ -120,10 +120,10 @@
 {
     configure();
     limit_tenant({1000, 1000});
-    const scripted_server server(answering_once(plain_answer("1", "ok")));
+    const scripted_server server(answering_once(make_response("1", "ok")));
     add_server("a", server);
     on_loop([&] { m_state.settings.quota_retry_ms = 1250; });
-    const auto answer = ask("/own/x");
+    const auto answer = fetch("/own/x");
     EXPECT_TRUE(has(answer, "HTTP/1.1 429 ")) << answer;
     EXPECT_TRUE(has(answer, "Retry-After: 1.25")) << answer;
 }
--- a/tests/gateway/quota_service_test.cpp
+++ b/tests/gateway/quota_service_test.cpp
@@ -125,7 +125,7 @@
             for (auto request = connection.read_message(); !request.empty();
                  request = connection.read_message())
             {
-                connection.send(plain_answer(id_of(request), "good"));
+                connection.send(make_response(id_of(request), "good"));
             }
         });
     configure();
@@ -145,7 +145,7 @@
     constexpr int most_requests = 40;
     for (int number = 0; number < most_requests && refusal.empty(); ++number)
     {
-        const auto answer = ask("/own/x", std::to_string(number));
+        const auto answer = fetch("/own/x", std::to_string(number));
         served += answer.ends_with("good") ? 1 : 0;
         refusal = answer.ends_with("good") ? "" : answer;
     }
--- a/tests/gateway/request_path_test.cpp
+++ b/tests/gateway/request_path_test.cpp
@@ -25,7 +25,7 @@
             {
                 return;
             }
-            connection.send(plain_answer(id_of(request), body, status));
+            connection.send(make_response(id_of(request), body, status));
         }
     };
 }
@@ -74,7 +74,7 @@
 
 TEST_F(request_path, without_a_configuration_says_when_to_come_back)
 {
-    const auto answer = ask("/safe/x");
+    const auto answer = fetch("/safe/x");
     EXPECT_TRUE(has(answer, "HTTP/1.1 503 ")) << answer;
     EXPECT_TRUE(has(answer, "Retry-After: ")) << answer;
 }
@@ -84,7 +84,7 @@
     configure();
     const scripted_server server(answering("body"));
     add_server("a", server);
-    const auto answer = ask("/safe/x");
+    const auto answer = fetch("/safe/x");
     EXPECT_TRUE(has(answer, "HTTP/1.1 200 Any\r\n")) << answer;
     EXPECT_TRUE(has(answer, "X-Server-Seal: seal\r\n")) << answer;
     EXPECT_TRUE(answer.ends_with("\r\n\r\nbody")) << answer;
@@ -95,7 +95,7 @@
     configure();
     const scripted_server server(answering("body"));
     add_server("a", server);
-    EXPECT_TRUE(has(ask("/other/x"), "HTTP/1.1 404 "));
+    EXPECT_TRUE(has(fetch("/other/x"), "HTTP/1.1 404 "));
     EXPECT_EQ(server.connections(), 0);
 }
 
@@ -138,7 +138,7 @@
     const scripted_server second(closing_after(""));
     add_server("a", first);
     add_server("b", second);
-    const auto answer = ask("/unsafe/x");
+    const auto answer = fetch("/unsafe/x");
     EXPECT_TRUE(has(answer, "HTTP/1.1 502 ")) << answer;
     EXPECT_EQ(first.requests() + second.requests(), 1);
 }
@@ -152,7 +152,7 @@
     add_server("b", second);
     for (int index = 0; index < 4; ++index)
     {
-        EXPECT_TRUE(ask("/safe/x").ends_with("good"));
+        EXPECT_TRUE(fetch("/safe/x").ends_with("good"));
     }
 }
 
@@ -166,7 +166,7 @@
     add_server("b", free_one);
     for (int index = 0; index < 4; ++index)
     {
-        EXPECT_TRUE(ask("/unsafe/x").ends_with("good"));
+        EXPECT_TRUE(fetch("/unsafe/x").ends_with("good"));
     }
 }
 
@@ -176,7 +176,7 @@
     const scripted_server full(closing_after(
         "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"));
     add_server("a", full);
-    const auto answer = ask("/unsafe/x");
+    const auto answer = fetch("/unsafe/x");
     EXPECT_TRUE(has(answer, "HTTP/1.1 503 ")) << answer;
     EXPECT_TRUE(has(answer, "Retry-After: ")) << answer;
 }
@@ -188,12 +188,12 @@
         [](test_connection& connection)
         {
             const auto request = connection.read_message();
-            connection.send(plain_answer("another", "wrong") +
-                            plain_answer(id_of(request), "right"));
+            connection.send(make_response("another", "wrong") +
+                            make_response(id_of(request), "right"));
             connection.read_message();
         });
     add_server("a", server);
-    EXPECT_TRUE(ask("/unsafe/x").ends_with("right"));
+    EXPECT_TRUE(fetch("/unsafe/x").ends_with("right"));
 }
 
 TEST_F(request_path, bytes_after_an_answer_end_the_connection)
@@ -203,12 +203,12 @@
         [](test_connection& connection)
         {
             const auto request = connection.read_message();
-            connection.send(plain_answer(id_of(request), "one") + "more");
+            connection.send(make_response(id_of(request), "one") + "more");
             connection.read_message();
         });
     add_server("a", server);
-    EXPECT_TRUE(ask("/safe/x", "1").ends_with("one"));
-    EXPECT_TRUE(ask("/safe/x", "2").ends_with("one"));
+    EXPECT_TRUE(fetch("/safe/x", "1").ends_with("one"));
+    EXPECT_TRUE(fetch("/safe/x", "2").ends_with("one"));
     EXPECT_EQ(server.connections(), 2);
 }
 
@@ -217,8 +217,8 @@
     configure();
     const scripted_server server(answering("body"));
     add_server("a", server);
-    ask("/safe/x", "1");
-    ask("/safe/x", "2");
+    fetch("/safe/x", "1");
+    fetch("/safe/x", "2");
     EXPECT_EQ(server.connections(), 1);
 }
 
@@ -231,8 +231,8 @@
         closing_after("HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\n"
                       "Transfer-Encoding: chunked\r\n\r\n5\r\nab"));
     add_server("a", server);
-    EXPECT_TRUE(has(ask("/unsafe/x"), "HTTP/1.1 502 "));
-    EXPECT_TRUE(has(ask("/other/x"), "HTTP/1.1 404 ")) << "it still answers";
+    EXPECT_TRUE(has(fetch("/unsafe/x"), "HTTP/1.1 502 "));
+    EXPECT_TRUE(has(fetch("/other/x"), "HTTP/1.1 404 ")) << "it still answers";
 }
 
 TEST_F(request_path, an_answer_without_length_that_is_reset_is_not_whole)
@@ -246,7 +246,7 @@
             connection.reset();
         });
     add_server("a", server);
-    EXPECT_TRUE(has(ask("/unsafe/x"), "HTTP/1.1 502 "));
+    EXPECT_TRUE(has(fetch("/unsafe/x"), "HTTP/1.1 502 "));
 }
 
 TEST_F(request_path, a_server_gets_the_request_once_and_without_the_key)
@@ -258,7 +258,7 @@
         {
             const auto request = connection.read_message();
             requests.add(request);
-            connection.send(plain_answer(id_of(request), "ok"));
+            connection.send(make_response(id_of(request), "ok"));
         });
     add_server("a", server);
     const auto client = connect();
@@ -372,8 +372,8 @@
     configure();
     const scripted_server server(answering("body"));
     add_server("a", server);
-    ask("/safe/x");
-    ask("/other/x");
+    fetch("/safe/x");
+    fetch("/other/x");
     std::string text;
     on_loop([&] { text = m_state.metrics.render(); });
     EXPECT_TRUE(has(text, "daleshelf_gateway_requests_total{route=\"/safe/\","
@@ -394,12 +394,12 @@
             m_state.is_stopping = true;
             m_state.stopping_since = monotonic::now();
         });
-    EXPECT_TRUE(has(ask("/safe/x"), "Connection: close\r\n"));
+    EXPECT_TRUE(has(fetch("/safe/x"), "Connection: close\r\n"));
     on_loop(
         [&] {
             m_state.stopping_since = monotonic::now() - std::chrono::seconds(4);
         });
-    const auto answer = ask("/safe/x");
+    const auto answer = fetch("/safe/x");
     EXPECT_TRUE(has(answer, "HTTP/1.1 503 ")) << answer;
     EXPECT_TRUE(has(answer, "Retry-After: ")) << answer;
 }
--- a/tests/gateway/server_limit_test.cpp
+++ b/tests/gateway/server_limit_test.cpp
@@ -67,7 +67,7 @@
             {
                 return;
             }
-            auto answer = plain_answer(id_of(request), "limited");
+            auto answer = make_response(id_of(request), "limited");
             const std::lock_guard guard(m_mutex);
             m_arrivals.push_back(std::chrono::steady_clock::now());
             if (!m_limit.empty())
@@ -110,18 +110,18 @@
                       {
                           return;
                       }
-                      connection.send(plain_answer(id_of(request), "sound"));
+                      connection.send(make_response(id_of(request), "sound"));
                   }
               })
     {
         configure();
     }
 
-    void ask_often(const std::string& path, int requests = 200)
+    void fetch_repeatedly(const std::string& path, int requests = 200)
     {
         for (int index = 0; index < requests; ++index)
         {
-            ask(path);
+            fetch(path);
         }
     }
 
@@ -157,7 +157,7 @@
     const limited_server limited("1");
     add_server("a", limited.server());
     add_server("b", m_sound);
-    ask_often("/safe/x");
+    fetch_repeatedly("/safe/x");
     EXPECT_LE(limited.most_within(window), most_allowed(1));
 }
 
@@ -165,7 +165,7 @@
 {
     const limited_server limited("2");
     add_server("a", limited.server());
-    ask_often("/unsafe/x");
+    fetch_repeatedly("/unsafe/x");
     EXPECT_LE(limited.most_within(window), most_allowed(2));
 }
 
@@ -176,7 +176,7 @@
     while (limited.arrived() < 20)
     {
         earn();
-        ask("/unsafe/x");
+        fetch("/unsafe/x");
     }
     SUCCEED();
 }
@@ -192,14 +192,14 @@
             connection.close();
         });
     add_server("a", limited.server());
-    ask("/unsafe/x");
+    fetch("/unsafe/x");
     add_server("b", failing);
     for (int index = 0; index < 50; ++index)
     {
         const auto client = connect();
         client->send(request_for("/stream/x"));
         client->read_all();
-        ask("/safe/x");
+        fetch("/safe/x");
     }
     EXPECT_LE(limited.most_within(window), most_allowed(1));
 }
@@ -208,8 +208,8 @@
 {
     const limited_server limited("0.5");
     add_server("a", limited.server());
-    ask("/unsafe/x");
-    const auto answer = ask("/unsafe/x");
+    fetch("/unsafe/x");
+    const auto answer = fetch("/unsafe/x");
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
     const auto at = answer.find("Retry-After: ");
     ASSERT_NE(at, std::string::npos) << answer;
@@ -222,18 +222,18 @@
     const limited_server limited("");
     add_server("a", limited.server());
     tell(3.0, 1000);
-    EXPECT_TRUE(ask("/unsafe/x").starts_with("HTTP/1.1 503 "));
+    EXPECT_TRUE(fetch("/unsafe/x").starts_with("HTTP/1.1 503 "));
     EXPECT_EQ(limited.arrived(), 0U);
     tell(std::nullopt, 2000);
     on_loop([&] { m_state.choice.forget(upstream_id("a")); });
-    EXPECT_TRUE(ask("/unsafe/x").ends_with("limited"));
+    EXPECT_TRUE(fetch("/unsafe/x").ends_with("limited"));
 }
 
 TEST_F(server_limit, a_limit_that_cannot_be_read_changes_nothing)
 {
     const limited_server limited("-1");
     add_server("a", limited.server());
-    ask_often("/unsafe/x", 30);
+    fetch_repeatedly("/unsafe/x", 30);
     EXPECT_EQ(limited.arrived(), 30U);
 }
 
@@ -241,15 +241,15 @@
 {
     limited_server limited("50");
     add_server("a", limited.server());
-    ask("/unsafe/x");
+    fetch("/unsafe/x");
     limited.set_limit("");
     while (limited.arrived() < 2)
     {
         earn();
-        ask("/unsafe/x");
+        fetch("/unsafe/x");
     }
     const auto before = limited.arrived();
-    ask_often("/unsafe/x", 30);
+    fetch_repeatedly("/unsafe/x", 30);
     EXPECT_EQ(limited.arrived(), before + 30);
 }
 
--- a/tests/gateway/server_notices_test.cpp
+++ b/tests/gateway/server_notices_test.cpp
@@ -26,7 +26,7 @@
             {
                 return;
             }
-            auto answer = plain_answer(id_of(request), body, status);
+            auto answer = make_response(id_of(request), body, status);
             answer.insert(answer.find("\r\n") + 2, fields);
             connection.send(answer);
         }
@@ -44,12 +44,12 @@
     /// Asks until the server that answers with this body has done so.
     /// @return whether it has within a number of requests that any choice
     /// among equals reaches it
-    bool ask_until(const std::string& body)
+    bool fetch_until(const std::string& body)
     {
         constexpr int enough = 200;
         for (int index = 0; index < enough; ++index)
         {
-            if (ask("/unsafe/x").ends_with(body))
+            if (fetch("/unsafe/x").ends_with(body))
             {
                 return true;
             }
@@ -64,7 +64,7 @@
         int answered = 0;
         for (int index = 0; index < further; ++index)
         {
-            answered += ask("/unsafe/x").ends_with(body) ? 1 : 0;
+            answered += fetch("/unsafe/x").ends_with(body) ? 1 : 0;
         }
         return answered;
     }
@@ -77,7 +77,7 @@
     const scripted_server staying(answering_with("", "staying"));
     add_server("a", leaving);
     add_server("b", staying);
-    ASSERT_TRUE(ask_until("leaving"));
+    ASSERT_TRUE(fetch_until("leaving"));
     EXPECT_EQ(answered_by("leaving"), 0);
 }
 
@@ -86,12 +86,12 @@
     const scripted_server leaving(
         answering_with("Server-Leaving: 1\r\n", "leaving"));
     add_server("a", leaving);
-    ASSERT_TRUE(ask_until("leaving"));
+    ASSERT_TRUE(fetch_until("leaving"));
     const scripted_server failing(answering_with("", "failed", 500));
     add_server("b", failing);
     for (int index = 0; index < 20; ++index)
     {
-        EXPECT_TRUE(ask("/safe/x").ends_with("failed"));
+        EXPECT_TRUE(fetch("/safe/x").ends_with("failed"));
     }
 }
 
@@ -100,7 +100,7 @@
     const scripted_server leaving(
         answering_with("Server-Leaving: 1\r\n", "leaving"));
     add_server("a", leaving);
-    ASSERT_TRUE(ask_until("leaving"));
+    ASSERT_TRUE(fetch_until("leaving"));
     const scripted_server breaking(
         [](test_connection& connection)
         {
@@ -135,7 +135,7 @@
     const auto client = connect();
     client->send(request_for("/stream/x"));
     client->read_message();
-    const auto answer = ask("/unsafe/x");
+    const auto answer = fetch("/unsafe/x");
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
     EXPECT_EQ(asked, 1);
 }
@@ -148,14 +148,14 @@
         {
             const auto request = connection.read_message();
             ++asked;
-            auto other = plain_answer("another", "late");
+            auto other = make_response("another", "late");
             other.insert(other.find("\r\n") + 2, "Server-Leaving: 1\r\n");
-            connection.send(other + plain_answer(id_of(request), "own"));
+            connection.send(other + make_response(id_of(request), "own"));
             connection.read_all();
         });
     add_server("a", leaving);
-    EXPECT_TRUE(ask("/unsafe/x").ends_with("own"));
-    EXPECT_TRUE(ask("/unsafe/x").starts_with("HTTP/1.1 503 "));
+    EXPECT_TRUE(fetch("/unsafe/x").ends_with("own"));
+    EXPECT_TRUE(fetch("/unsafe/x").starts_with("HTTP/1.1 503 "));
     EXPECT_EQ(asked, 1);
 }
 
--- a/tests/gateway/server_rest_test.cpp
+++ b/tests/gateway/server_rest_test.cpp
@@ -68,7 +68,7 @@
                       {
                           return;
                       }
-                      connection.send(plain_answer(id_of(request), "good"));
+                      connection.send(make_response(id_of(request), "good"));
                   }
               })
     {
@@ -86,14 +86,14 @@
     constexpr int enough = 200;
     for (int index = 0; index < enough && resting.asked() == 0; ++index)
     {
-        ask("/unsafe/x");
+        fetch("/unsafe/x");
     }
     ASSERT_EQ(resting.asked(), 1);
     // Longer than a refusal alone makes a server be passed over.
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     for (int index = 0; index < enough; ++index)
     {
-        EXPECT_TRUE(ask("/unsafe/x").ends_with("good"));
+        EXPECT_TRUE(fetch("/unsafe/x").ends_with("good"));
     }
     EXPECT_EQ(resting.asked(), 1);
 }
@@ -104,7 +104,7 @@
     add_server("a", resting.server());
     for (int index = 0; index < 200 && resting.asked() == 0; ++index)
     {
-        ask("/unsafe/x");
+        fetch("/unsafe/x");
     }
     on_loop([&] { m_state.servers.remove(upstream_id("b")); });
     const scripted_server breaking(
@@ -118,7 +118,7 @@
     const auto client = connect();
     client->send(request_for("/stream/x"));
     client->read_all();
-    ask("/safe/x");
+    fetch("/safe/x");
     EXPECT_EQ(resting.asked(), 1);
 }
 
@@ -130,8 +130,8 @@
     add_server("a", longer.server());
     add_server("c", shorter.server());
     // The first tries both: neither has run it.
-    ask("/unsafe/x");
-    const auto answer = ask("/unsafe/x");
+    fetch("/unsafe/x");
+    const auto answer = fetch("/unsafe/x");
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
     const auto at = answer.find("Retry-After: ");
     ASSERT_NE(at, std::string::npos) << answer;
@@ -146,10 +146,10 @@
     on_loop([&] { m_state.servers.remove(upstream_id("b")); });
     const resting_server resting("0.05");
     add_server("a", resting.server());
-    ask("/unsafe/x");
+    fetch("/unsafe/x");
     while (resting.asked() < 2)
     {
-        ask("/unsafe/x");
+        fetch("/unsafe/x");
     }
     SUCCEED();
 }
