--- a/tests/gateway/byte_channel_test.cpp
+++ b/tests/gateway/byte_channel_test.cpp
@@ -57,7 +57,7 @@
     std::shared_ptr<byte_channel> m_channel;
 };
 
-TEST_F(byte_channel_test, takes_what_comes)
+TEST_F(byte_channel_test, reads_input)
 {
     asio::write(m_peer, asio::buffer(std::string("abc")));
     m_channel->start();
@@ -66,7 +66,7 @@
 }
 
 // The peer never reads; without a limit the write would never end.
-TEST_F(byte_channel_test, a_write_that_nobody_takes_is_given_up)
+TEST_F(byte_channel_test, a_blocked_write_is_aborted_at_its_deadline)
 {
     const std::string bytes(std::size_t{64} << 20, 'a');
     byte_channel::write_result result;
@@ -94,7 +94,7 @@
 {
 };
 
-TEST_P(closing_channel_test, takes_nothing_once_it_is_closed)
+TEST_P(closing_channel_test, reads_nothing_after_close)
 {
     asio::write(m_peer, asio::buffer(std::string("a request")));
     const auto before = close_after(GetParam());
--- a/tests/gateway/crash_detector_test.cpp
+++ b/tests/gateway/crash_detector_test.cpp
@@ -23,7 +23,7 @@
               [this](test_connection& connection)
               {
                   connection.read_message();
-                  const bool is_first = !m_has_read.exchange(true);
+                  const bool is_first = !m_has_request.exchange(true);
                   if (is_first)
                   {
                       m_read.set_value();
@@ -31,7 +31,7 @@
                   connection.read_all();
                   if (is_first)
                   {
-                      m_left.set_value();
+                      m_disconnected.set_value();
                   }
               })
     {
@@ -42,9 +42,9 @@
         m_read.get_future().wait();
     }
 
-    void wait_until_left()
+    void wait_until_disconnected()
     {
-        m_left.get_future().wait();
+        m_disconnected.get_future().wait();
     }
 
     scripted_server& server()
@@ -53,9 +53,9 @@
     }
 
 private:
-    std::atomic<bool> m_has_read = false;
+    std::atomic<bool> m_has_request = false;
     std::promise<void> m_read;
-    std::promise<void> m_left;
+    std::promise<void> m_disconnected;
     scripted_server m_server; // ends first: its threads use the others
 };
 
@@ -90,17 +90,18 @@
         client->send(request_for(path));
         server.wait_until_read();
         client->close();
-        server.wait_until_left();
+        server.wait_until_disconnected();
     }
 };
 
-TEST_F(crash_detector, a_request_whose_caller_left_before_the_end_is_suspected)
+TEST_F(crash_detector,
+       a_request_whose_client_left_before_the_crash_is_suspected)
 {
     silent_server server;
     add_server("a", server.server());
     request_and_disconnect("/unsafe/deadly", server);
     EXPECT_FALSE(is_suspected("/unsafe/deadly"));
-    server.server().end();
+    server.server().crash();
     EXPECT_TRUE(fetch("/unsafe/other").starts_with("HTTP/1.1 503 "));
     EXPECT_TRUE(is_suspected("/unsafe/deadly"));
     EXPECT_FALSE(is_suspected("/unsafe/other")) << "it has never run";
@@ -114,18 +115,18 @@
     client->send("GET /unsafe/deadly HTTP/1.1\r\nHost: h\r\n"
                  "X-Attempt-Id: 1\r\nX-Deadline-Ms: 100\r\n\r\n");
     EXPECT_TRUE(client->read_message().starts_with("HTTP/1.1 504 "));
-    server.wait_until_left();
-    server.server().end();
+    server.wait_until_disconnected();
+    server.server().crash();
     EXPECT_TRUE(fetch("/unsafe/other").starts_with("HTTP/1.1 503 "));
     EXPECT_TRUE(is_suspected("/unsafe/deadly"));
 }
 
 // Nobody else asks for anything there: what shows the end is a connection that
 // is kept for the next request.
-TEST_F(crash_detector, a_kept_connection_that_ends_shows_it)
+TEST_F(crash_detector, a_closed_idle_connection_reveals_the_crash)
 {
     std::promise<void> read;
-    std::promise<void> left;
+    std::promise<void> disconnected;
     scripted_server server(
         [&](test_connection& connection)
         {
@@ -138,7 +139,7 @@
             }
             read.set_value();
             connection.read_all();
-            left.set_value();
+            disconnected.set_value();
         });
     add_server("a", server);
     const auto client = connect();
@@ -146,8 +147,8 @@
     read.get_future().wait();
     EXPECT_TRUE(fetch("/unsafe/other").ends_with("good"));
     client->close();
-    left.get_future().wait();
-    server.end();
+    disconnected.get_future().wait();
+    server.crash();
     while (!is_suspected("/unsafe/deadly"))
     {
     }
@@ -157,7 +158,7 @@
 // At a server that nobody else uses nothing shows the end: where a request is
 // suspected already, the host asks by itself, and sends it nowhere else before.
 TEST_F(crash_detector,
-       a_suspect_that_was_let_go_is_under_way_until_its_end_shows)
+       an_aborted_suspect_is_in_flight_until_its_crash_is_detected)
 {
     const auto path = "/unsafe/deadly";
     const auto print = print_of(content_of(path));
@@ -173,21 +174,21 @@
     silent_server server;
     add_server("a", server.server());
     request_and_disconnect(path, server);
-    server.server().end();
-    bool is_under_way = false;
-    on_loop([&] { is_under_way = m_state.suspects.has(print); });
-    EXPECT_TRUE(is_under_way);
-    std::size_t ends = 1;
-    while (is_under_way)
+    server.server().crash();
+    bool is_in_flight = false;
+    on_loop([&] { is_in_flight = m_state.suspects.has(print); });
+    EXPECT_TRUE(is_in_flight);
+    std::size_t crashes = 1;
+    while (is_in_flight)
     {
         on_loop(
             [&]
             {
-                is_under_way = m_state.suspects.has(print);
-                ends = m_state.poison.find(print)->ends.size();
+                is_in_flight = m_state.suspects.has(print);
+                crashes = m_state.poison.find(print)->ends.size();
             });
     }
-    EXPECT_EQ(ends, 2);
+    EXPECT_EQ(crashes, 2);
 }
 
 } // namespace
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -87,9 +87,9 @@
     }
     auto message = m_input.substr(0, size);
     m_input.erase(0, message.size());
-    if (m_messages != nullptr && !message.empty())
+    if (m_message_counter != nullptr && !message.empty())
     {
-        ++*m_messages;
+        ++*m_message_counter;
     }
     return message;
 }
@@ -136,20 +136,20 @@
     , m_acceptor(m_context, {asio::ip::make_address("127.0.0.1"), 0})
     , m_address(concat("127.0.0.1:",
                        static_cast<int>(m_acceptor.local_endpoint().port())))
-    , m_accepting([this] { accept_all(); })
+    , m_acceptor_thread([this] { accept_all(); })
 {
 }
 
 scripted_server::~scripted_server()
 {
-    end();
+    crash();
     for (auto& thread : m_threads)
     {
         thread.join();
     }
 }
 
-void scripted_server::end()
+void scripted_server::crash()
 {
     if (m_is_stopping.exchange(true))
     {
@@ -159,10 +159,10 @@
     error_code ignored;
     asio::ip::tcp::socket last(m_context);
     last.connect(m_acceptor.local_endpoint(), ignored);
-    m_accepting.join();
+    m_acceptor_thread.join();
     m_acceptor.close(ignored);
     const std::lock_guard lock(m_mutex);
-    for (const auto& connection : m_open)
+    for (const auto& connection : m_connections)
     {
         connection->stop_reading();
     }
@@ -179,13 +179,13 @@
         {
             return;
         }
-        ++m_count;
+        ++m_connection_count;
         const auto connection =
             std::make_shared<test_connection>(std::move(*socket));
-        connection->set_message_counter(m_requests);
+        connection->set_message_counter(m_request_count);
         {
             const std::lock_guard lock(m_mutex);
-            m_open.push_back(connection);
+            m_connections.push_back(connection);
         }
         m_threads.emplace_back(
             [this, connection]
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -43,9 +43,9 @@
     }
 
     /// Sets what counts the whole messages that are read.
-    void set_message_counter(std::atomic<int>& messages)
+    void set_message_counter(std::atomic<int>& counter)
     {
-        m_messages = &messages;
+        m_message_counter = &counter;
     }
 
     /// Ends the connection in order.
@@ -63,7 +63,7 @@
     asio::ip::tcp::socket m_socket;
     std::string m_input;
     bool m_was_reset = false;
-    std::atomic<int>* m_messages = nullptr;
+    std::atomic<int>* m_message_counter = nullptr;
 };
 
 /// A server: each connection is served by a function on its own thread.
@@ -78,7 +78,7 @@
     scripted_server& operator=(const scripted_server&) = delete;
 
     /// Ends as a process does: its connections end, its port refuses others.
-    void end();
+    void crash();
 
     [[nodiscard]] std::string address() const
     {
@@ -88,13 +88,13 @@
     /// @return connections taken so far
     [[nodiscard]] int connections() const
     {
-        return m_count;
+        return m_connection_count;
     }
 
     /// @return requests read so far; a connection may bring none
     [[nodiscard]] int requests() const
     {
-        return m_requests;
+        return m_request_count;
     }
 
 private:
@@ -104,13 +104,13 @@
     asio::io_context m_context;
     asio::ip::tcp::acceptor m_acceptor;
     std::string m_address;
-    std::atomic<int> m_count = 0;
-    std::atomic<int> m_requests = 0;
+    std::atomic<int> m_connection_count = 0;
+    std::atomic<int> m_request_count = 0;
     std::atomic<bool> m_is_stopping = false;
     std::mutex m_mutex;
-    std::vector<std::shared_ptr<test_connection>> m_open;
+    std::vector<std::shared_ptr<test_connection>> m_connections;
     std::vector<std::thread> m_threads;
-    std::thread m_accepting;
+    std::thread m_acceptor_thread;
 };
 
 /// The request path on a thread of its own.
--- a/tests/gateway/http_call_test.cpp
+++ b/tests/gateway/http_call_test.cpp
@@ -12,18 +12,18 @@
 
 // A call that a cut held up came two seconds after its lease had lapsed and
 // another machine had called with a higher token (docs/findings).
-TEST_F(http_call, a_call_that_is_given_up_is_reset)
+TEST_F(http_call, an_aborted_call_resets_its_connection)
 {
-    std::promise<bool> ended;
+    std::promise<bool> is_reset;
     const scripted_server server(
         [&](test_connection& connection)
         {
             connection.read_message();
             connection.read_all();
-            ended.set_value(connection.was_reset());
+            is_reset.set_value(connection.was_reset());
         });
     std::unique_ptr<http_caller> caller;
-    std::promise<bool> answered;
+    std::promise<bool> is_answered;
     on_loop(
         [&]
         {
@@ -33,14 +33,14 @@
                 [&]() -> awaitable<void>
                 {
                     platform::store_call call{"GET", "/", "", ""};
-                    const auto answer = co_await caller->call(std::move(call),
-                                                              milliseconds(50));
-                    answered.set_value(answer.has_value());
+                    const auto response = co_await caller->call(
+                        std::move(call), milliseconds(50));
+                    is_answered.set_value(response.has_value());
                 },
                 asio::detached);
         });
-    EXPECT_FALSE(answered.get_future().get());
-    EXPECT_TRUE(ended.get_future().get());
+    EXPECT_FALSE(is_answered.get_future().get());
+    EXPECT_TRUE(is_reset.get_future().get());
     on_loop([&] { caller.reset(); });
 }
 
@@ -69,9 +69,9 @@
                     for (int index = 0; index < 2; ++index)
                     {
                         platform::store_call call{"GET", "/", "", ""};
-                        const auto answer = co_await caller->call(
+                        const auto response = co_await caller->call(
                             std::move(call), milliseconds(5000));
-                        all += answer ? answer->body : "none";
+                        all += response ? response->body : "none";
                     }
                     bodies.set_value(all);
                 },
--- a/tests/gateway/poison_path_test.cpp
+++ b/tests/gateway/poison_path_test.cpp
@@ -11,10 +11,10 @@
 {
 
 /// A server that ends when it has read a request.
-class ending_server
+class crashing_server
 {
 public:
-    ending_server()
+    crashing_server()
         : m_acceptor(m_context, {asio::ip::make_address("127.0.0.1"), 0})
         , m_address(
               concat("127.0.0.1:",
@@ -23,7 +23,7 @@
     {
     }
 
-    ~ending_server()
+    ~crashing_server()
     {
         {
             // A connection of its own ends the wait for the next one.
@@ -34,8 +34,8 @@
         m_thread.join();
     }
 
-    ending_server(const ending_server&) = delete;
-    ending_server& operator=(const ending_server&) = delete;
+    crashing_server(const crashing_server&) = delete;
+    crashing_server& operator=(const crashing_server&) = delete;
 
     [[nodiscard]] server_entry entry(const std::string& id) const
     {
@@ -69,7 +69,7 @@
 {
 protected:
     poison_path()
-        : m_sound(
+        : m_healthy(
               [](test_connection& connection)
               {
                   while (true)
@@ -86,26 +86,26 @@
         configure();
     }
 
-    void list(const ending_server& server, const std::string& id)
+    void list(const crashing_server& server, const std::string& id)
     {
         on_loop([&] { m_state.servers.set(server.entry(id)); });
     }
 
     /// Notes what another host has told: a server ended under the request a
     /// second ago.
-    void hear_of_an_end(const suspect_request& suspect)
+    void merge_peer_crash(const suspect_request& suspect)
     {
         on_loop(
             [&]
             {
                 const auto now = gateway_state::now();
-                poison_record told;
-                told.print = suspect.print;
-                told.shape = suspect.shape;
-                told.service = suspect.service;
-                told.ends[{upstream_id("z"), {}}] = {now - absl::Seconds(1),
-                                                     absl::Seconds(1)};
-                m_state.poison.merge(told, now);
+                poison_record peer_record;
+                peer_record.print = suspect.print;
+                peer_record.shape = suspect.shape;
+                peer_record.service = suspect.service;
+                peer_record.ends[{upstream_id("z"), {}}] = {
+                    now - absl::Seconds(1), absl::Seconds(1)};
+                m_state.poison.merge(peer_record, now);
             });
     }
 
@@ -127,8 +127,8 @@
     void merge_other_crashes_later()
     {
         constexpr milliseconds report_delay{100};
-        m_later.expires_after(report_delay);
-        m_later.async_wait(
+        m_report_timer.expires_after(report_delay);
+        m_report_timer.async_wait(
             [this](const error_code&)
             {
                 const suspect_request other{request_print("other"), 1,
@@ -140,41 +140,41 @@
             });
     }
 
-    void wait_until_proved(const request_print& print)
+    void wait_until_confirmed(const request_print& print)
     {
-        auto judged = suspicion::none;
-        while (judged != suspicion::proved)
+        auto level = suspicion::none;
+        while (level != suspicion::proved)
         {
             on_loop(
                 [&] {
-                    judged =
+                    level =
                         m_state.poison.judge(print, 3, gateway_state::now());
                 });
         }
     }
 
-    scripted_server m_sound;
-    boot_timer m_later{m_context};
+    scripted_server m_healthy;
+    boot_timer m_report_timer{m_context};
 };
 
-TEST_F(poison_path, a_request_that_has_ended_two_servers_is_refused)
+TEST_F(poison_path, a_request_that_crashed_two_servers_is_rejected)
 {
     const request_content content{{}, "h", "GET", "/unsafe/deadly", ""};
     const suspect_request suspect{print_of(content), shape_of(content),
                                   service_name("service")};
-    hear_of_an_end(suspect);
-    const ending_server ending;
-    list(ending, "a");
+    merge_peer_crash(suspect);
+    const crashing_server crashing;
+    list(crashing, "a");
     EXPECT_TRUE(fetch("/unsafe/deadly").starts_with("HTTP/1.1 502 "));
-    wait_until_proved(suspect.print);
-    add_server("c", m_sound);
-    const auto answer = fetch("/unsafe/deadly");
-    EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
-    const auto at = answer.find("Retry-After: ");
-    ASSERT_NE(at, std::string::npos) << answer;
-    EXPECT_GT(std::stod(answer.substr(at + 13)), 60)
+    wait_until_confirmed(suspect.print);
+    add_server("c", m_healthy);
+    const auto response = fetch("/unsafe/deadly");
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
+    const auto at = response.find("Retry-After: ");
+    ASSERT_NE(at, std::string::npos) << response;
+    EXPECT_GT(std::stod(response.substr(at + 13)), 60)
         << "when it is tried again";
-    EXPECT_EQ(m_sound.requests(), 0);
+    EXPECT_EQ(m_healthy.requests(), 0);
     on_loop([&] { m_state.servers.remove(upstream_id("a")); });
     EXPECT_TRUE(fetch("/unsafe/other").ends_with("good"));
 }
@@ -186,7 +186,7 @@
     const request_content content{{}, "h", "GET", "/unsafe/popular", ""};
     const suspect_request suspect{print_of(content), shape_of(content),
                                   service_name("service")};
-    add_server("c", m_sound);
+    add_server("c", m_healthy);
     on_loop(
         [&]
         {
@@ -197,10 +197,10 @@
             merge_other_crashes_later();
         });
     EXPECT_TRUE(fetch("/unsafe/popular").ends_with("good"));
-    EXPECT_EQ(m_sound.requests(), 1);
+    EXPECT_EQ(m_healthy.requests(), 1);
 }
 
-TEST_F(poison_path, a_closed_connection_is_no_end_of_a_server)
+TEST_F(poison_path, a_closed_connection_is_no_crash)
 {
     const scripted_server closing([](test_connection& connection)
                                   { connection.read_message(); });
@@ -216,11 +216,11 @@
     EXPECT_EQ(known, 0);
 }
 
-TEST_F(poison_path, an_end_of_a_server_that_was_to_leave_blames_nobody)
+TEST_F(poison_path, an_exit_of_a_draining_server_is_no_evidence)
 {
     scripted_server leaving([](test_connection&) {});
     add_server("a", leaving);
-    leaving.end();
+    leaving.crash();
     bool is_blamed = true;
     on_loop(
         [&]
--- a/tests/gateway/policy_test.cpp
+++ b/tests/gateway/policy_test.cpp
@@ -8,12 +8,12 @@
 
 using policy = gateway_fixture;
 
-bool has(const std::string& text, const std::string& part)
+bool contains(const std::string& text, const std::string& part)
 {
     return text.find(part) != std::string::npos;
 }
 
-scripted_server::script answering_once(const std::string& bytes)
+scripted_server::script send_and_close(const std::string& bytes)
 {
     return [=](test_connection& connection)
     {
@@ -24,7 +24,7 @@
 }
 
 /// Answers every request on a connection with a stream of three events.
-scripted_server::script streaming()
+scripted_server::script respond_with_stream()
 {
     return [](test_connection& connection)
     {
@@ -43,7 +43,7 @@
 {
     configure();
     make_engines();
-    const scripted_server server(answering_once(make_response("1", "body")));
+    const scripted_server server(send_and_close(make_response("1", "body")));
     add_server("a", server);
     on_loop(
         [&]
@@ -51,9 +51,9 @@
             m_state.choice.set_peer_load(
                 host_id("peer"), {{upstream_id("a"), server_load{100, 0}}});
         });
-    const auto answer = fetch("/stream/x");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 503 ")) << answer;
-    EXPECT_TRUE(has(answer, "Retry-After: ")) << answer;
+    const auto response = fetch("/stream/x");
+    EXPECT_TRUE(contains(response, "HTTP/1.1 503 ")) << response;
+    EXPECT_TRUE(contains(response, "Retry-After: ")) << response;
     EXPECT_EQ(server.connections(), 0);
     // Switched off, it is tried.
     on_loop([&] { m_state.settings.refuses_hopeless = false; });
@@ -64,11 +64,11 @@
 {
     configure();
     on_loop([&] { m_state.settings.retries_failures = false; });
-    const scripted_server one(answering_once(""));
-    const scripted_server two(answering_once(""));
+    const scripted_server one(send_and_close(""));
+    const scripted_server two(send_and_close(""));
     add_server("a", one);
     add_server("b", two);
-    EXPECT_TRUE(has(fetch("/safe/x"), "HTTP/1.1 502 "));
+    EXPECT_TRUE(contains(fetch("/safe/x"), "HTTP/1.1 502 "));
     EXPECT_EQ(one.requests() + two.requests(), 1);
 }
 
@@ -76,9 +76,9 @@
 {
     configure();
     on_loop([&] { m_state.settings.resumes_streams = false; });
-    const auto begun = stream_head("1") + event_chunk(1, "a");
-    const scripted_server one(answering_once(begun));
-    const scripted_server two(answering_once(begun));
+    const auto partial_stream = stream_head("1") + event_chunk(1, "a");
+    const scripted_server one(send_and_close(partial_stream));
+    const scripted_server two(send_and_close(partial_stream));
     add_server("a", one);
     add_server("b", two);
     const auto client = connect();
@@ -87,23 +87,23 @@
     EXPECT_EQ(one.requests() + two.requests(), 1);
 }
 
-TEST_F(policy, learns_of_engines_from_whole_streams_only_if_it_may)
+TEST_F(policy, learns_engines_from_complete_streams_only_if_enabled)
 {
     configure();
     make_engines();
-    const scripted_server server(streaming());
+    const scripted_server server(respond_with_stream());
     add_server("a", server);
     for (const bool learns : {false, true})
     {
         on_loop([&] { m_state.settings.learns_engines = learns; });
         const auto client = connect();
         client->send(request_for("/stream/x"));
-        std::string answer;
-        while (!answer.ends_with(last_chunk))
+        std::string response;
+        while (!response.ends_with(last_chunk))
         {
             const auto more = client->read_message();
-            ASSERT_FALSE(more.empty()) << answer;
-            answer += more;
+            ASSERT_FALSE(more.empty()) << response;
+            response += more;
         }
         on_loop(
             [&]
@@ -116,16 +116,16 @@
     }
 }
 
-TEST_F(policy, a_refusal_for_quota_says_to_come_back_as_soon_as_is_set)
+TEST_F(policy, a_quota_rejection_has_the_configured_retry_after)
 {
     configure();
     limit_tenant({1000, 1000});
-    const scripted_server server(answering_once(make_response("1", "ok")));
+    const scripted_server server(send_and_close(make_response("1", "ok")));
     add_server("a", server);
     on_loop([&] { m_state.settings.quota_retry_ms = 1250; });
-    const auto answer = fetch("/own/x");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 429 ")) << answer;
-    EXPECT_TRUE(has(answer, "Retry-After: 1.25")) << answer;
+    const auto response = fetch("/own/x");
+    EXPECT_TRUE(contains(response, "HTTP/1.1 429 ")) << response;
+    EXPECT_TRUE(contains(response, "Retry-After: 1.25")) << response;
 }
 
 } // namespace
--- a/tests/gateway/request_path_test.cpp
+++ b/tests/gateway/request_path_test.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-bool has(const std::string& text, const std::string& part)
+bool contains(const std::string& text, const std::string& part)
 {
     return text.find(part) != std::string::npos;
 }
 
 /// Answers every request on a connection with the same body.
-scripted_server::script answering(const std::string& body, int status = 200)
+scripted_server::script respond_with(const std::string& body, int status = 200)
 {
     return [=](test_connection& connection)
     {
@@ -30,7 +30,7 @@
     };
 }
 
-scripted_server::script closing_after(const std::string& bytes)
+scripted_server::script send_and_close(const std::string& bytes)
 {
     return [=](test_connection& connection)
     {
@@ -74,35 +74,35 @@
 
 TEST_F(request_path, without_a_configuration_says_when_to_come_back)
 {
-    const auto answer = fetch("/safe/x");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 503 ")) << answer;
-    EXPECT_TRUE(has(answer, "Retry-After: ")) << answer;
+    const auto response = fetch("/safe/x");
+    EXPECT_TRUE(contains(response, "HTTP/1.1 503 ")) << response;
+    EXPECT_TRUE(contains(response, "Retry-After: ")) << response;
 }
 
 TEST_F(request_path, passes_an_answer_on_unchanged)
 {
     configure();
-    const scripted_server server(answering("body"));
+    const scripted_server server(respond_with("body"));
     add_server("a", server);
-    const auto answer = fetch("/safe/x");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 200 Any\r\n")) << answer;
-    EXPECT_TRUE(has(answer, "X-Server-Seal: seal\r\n")) << answer;
-    EXPECT_TRUE(answer.ends_with("\r\n\r\nbody")) << answer;
+    const auto response = fetch("/safe/x");
+    EXPECT_TRUE(contains(response, "HTTP/1.1 200 Any\r\n")) << response;
+    EXPECT_TRUE(contains(response, "X-Server-Seal: seal\r\n")) << response;
+    EXPECT_TRUE(response.ends_with("\r\n\r\nbody")) << response;
 }
 
 TEST_F(request_path, unknown_paths_get_404_and_reach_no_server)
 {
     configure();
-    const scripted_server server(answering("body"));
+    const scripted_server server(respond_with("body"));
     add_server("a", server);
-    EXPECT_TRUE(has(fetch("/other/x"), "HTTP/1.1 404 "));
+    EXPECT_TRUE(contains(fetch("/other/x"), "HTTP/1.1 404 "));
     EXPECT_EQ(server.connections(), 0);
 }
 
 TEST_F(request_path, malformed_and_smuggled_requests_get_400)
 {
     configure();
-    const scripted_server server(answering("body"));
+    const scripted_server server(respond_with("body"));
     add_server("a", server);
     for (const auto* bytes :
          {"GET /safe/x HTTP/1.1\r\nHost: h\r\nbroken\r\n\r\n",
@@ -113,7 +113,7 @@
     {
         const auto client = connect();
         client->send(bytes);
-        EXPECT_TRUE(has(client->read_message(), "HTTP/1.1 400 ")) << bytes;
+        EXPECT_TRUE(contains(client->read_message(), "HTTP/1.1 400 ")) << bytes;
     }
     EXPECT_EQ(server.connections(), 0);
 }
@@ -124,30 +124,30 @@
     const auto long_head = connect();
     long_head->send("GET / HTTP/1.1\r\nA: " + std::string(40000, 'x') +
                     "\r\n\r\n");
-    EXPECT_TRUE(has(long_head->read_message(), "HTTP/1.1 431 "));
+    EXPECT_TRUE(contains(long_head->read_message(), "HTTP/1.1 431 "));
     const auto long_body = connect();
     long_body->send("POST /safe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 1\r\n"
                     "Content-Length: 99999999\r\n\r\n");
-    EXPECT_TRUE(has(long_body->read_message(), "HTTP/1.1 413 "));
+    EXPECT_TRUE(contains(long_body->read_message(), "HTTP/1.1 413 "));
 }
 
 TEST_F(request_path, an_unsafe_request_is_never_sent_twice)
 {
     configure();
-    const scripted_server first(closing_after(""));
-    const scripted_server second(closing_after(""));
+    const scripted_server first(send_and_close(""));
+    const scripted_server second(send_and_close(""));
     add_server("a", first);
     add_server("b", second);
-    const auto answer = fetch("/unsafe/x");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 502 ")) << answer;
+    const auto response = fetch("/unsafe/x");
+    EXPECT_TRUE(contains(response, "HTTP/1.1 502 ")) << response;
     EXPECT_EQ(first.requests() + second.requests(), 1);
 }
 
 TEST_F(request_path, a_safe_request_goes_to_another_server)
 {
     configure();
-    const scripted_server first(closing_after(""));
-    const scripted_server second(answering("good"));
+    const scripted_server first(send_and_close(""));
+    const scripted_server second(respond_with("good"));
     add_server("a", first);
     add_server("b", second);
     for (int index = 0; index < 4; ++index)
@@ -159,11 +159,11 @@
 TEST_F(request_path, a_server_that_states_not_run_leaves_the_request_to_others)
 {
     configure();
-    const scripted_server full(closing_after(
+    const scripted_server full(send_and_close(
         "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"));
-    const scripted_server free_one(answering("good"));
+    const scripted_server available(respond_with("good"));
     add_server("a", full);
-    add_server("b", free_one);
+    add_server("b", available);
     for (int index = 0; index < 4; ++index)
     {
         EXPECT_TRUE(fetch("/unsafe/x").ends_with("good"));
@@ -173,12 +173,12 @@
 TEST_F(request_path, when_all_are_full_the_refusal_says_when_to_come_back)
 {
     configure();
-    const scripted_server full(closing_after(
+    const scripted_server full(send_and_close(
         "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"));
     add_server("a", full);
-    const auto answer = fetch("/unsafe/x");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 503 ")) << answer;
-    EXPECT_TRUE(has(answer, "Retry-After: ")) << answer;
+    const auto response = fetch("/unsafe/x");
+    EXPECT_TRUE(contains(response, "HTTP/1.1 503 ")) << response;
+    EXPECT_TRUE(contains(response, "Retry-After: ")) << response;
 }
 
 TEST_F(request_path, a_late_answer_to_another_request_is_skipped)
@@ -215,7 +215,7 @@
 TEST_F(request_path, a_connection_is_kept_for_the_next_request)
 {
     configure();
-    const scripted_server server(answering("body"));
+    const scripted_server server(respond_with("body"));
     add_server("a", server);
     fetch("/safe/x", "1");
     fetch("/safe/x", "2");
@@ -224,15 +224,16 @@
 
 // A connection that ended in order within a chunk left bytes that no parse
 // took; the process stood still on them (docs/findings).
-TEST_F(request_path, an_answer_cut_off_within_a_chunk_is_no_whole_answer)
+TEST_F(request_path, a_response_cut_off_within_a_chunk_is_incomplete)
 {
     configure();
     const scripted_server server(
-        closing_after("HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\n"
-                      "Transfer-Encoding: chunked\r\n\r\n5\r\nab"));
+        send_and_close("HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\n"
+                       "Transfer-Encoding: chunked\r\n\r\n5\r\nab"));
     add_server("a", server);
-    EXPECT_TRUE(has(fetch("/unsafe/x"), "HTTP/1.1 502 "));
-    EXPECT_TRUE(has(fetch("/other/x"), "HTTP/1.1 404 ")) << "it still answers";
+    EXPECT_TRUE(contains(fetch("/unsafe/x"), "HTTP/1.1 502 "));
+    EXPECT_TRUE(contains(fetch("/other/x"), "HTTP/1.1 404 "))
+        << "it still answers";
 }
 
 TEST_F(request_path, an_answer_without_length_that_is_reset_is_not_whole)
@@ -246,7 +247,7 @@
             connection.reset();
         });
     add_server("a", server);
-    EXPECT_TRUE(has(fetch("/unsafe/x"), "HTTP/1.1 502 "));
+    EXPECT_TRUE(contains(fetch("/unsafe/x"), "HTTP/1.1 502 "));
 }
 
 TEST_F(request_path, a_server_gets_the_request_once_and_without_the_key)
@@ -269,21 +270,21 @@
     client->read_message();
     const auto request = requests.wait_for(1).front();
     EXPECT_TRUE(request.starts_with("POST /safe/x?q=1 HTTP/1.1\r\n"));
-    EXPECT_TRUE(has(request, "X-Model: m\r\n"));
-    EXPECT_TRUE(has(request, "X-Expect-Instance: a\r\n"));
-    EXPECT_TRUE(has(request, "X-Deadline-Ms: "));
+    EXPECT_TRUE(contains(request, "X-Model: m\r\n"));
+    EXPECT_TRUE(contains(request, "X-Expect-Instance: a\r\n"));
+    EXPECT_TRUE(contains(request, "X-Deadline-Ms: "));
     EXPECT_TRUE(request.ends_with("\r\n\r\nabc"));
     for (const auto* withheld : {"secret", "forged", "X-Hop"})
     {
-        EXPECT_FALSE(has(request, withheld)) << withheld;
+        EXPECT_FALSE(contains(request, withheld)) << withheld;
     }
 }
 
 TEST_F(request_path, a_client_that_leaves_frees_the_server)
 {
     configure();
-    recorder ended;
-    recorder begun;
+    recorder closed;
+    recorder started;
     const scripted_server server(
         [&](test_connection& connection)
         {
@@ -291,17 +292,17 @@
             // Sent before the client is let go: a send that meets the reset
             // takes its error, and what is read then looks closed in order.
             connection.send(stream_head("1") + event_chunk(1, "a"));
-            begun.add(request);
+            started.add(request);
             connection.read_all();
             // A reset drops bytes that a cut would hold up and deliver late.
-            ended.add(connection.was_reset() ? "reset" : "closed");
+            closed.add(connection.was_reset() ? "reset" : "closed");
         });
     add_server("a", server);
     auto client = connect();
     client->send(request_for("/stream/x"));
-    begun.wait_for(1);
+    started.wait_for(1);
     client->close();
-    EXPECT_EQ(ended.wait_for(1).front(), "reset");
+    EXPECT_EQ(closed.wait_for(1).front(), "reset");
 }
 
 TEST_F(request_path, a_stream_goes_on_at_another_server_under_the_first_head)
@@ -333,60 +334,61 @@
     add_server("b", two);
     const auto client = connect();
     client->send(request_for("/stream/x"));
-    std::string answer;
-    while (!answer.ends_with(last_chunk))
+    std::string response;
+    while (!response.ends_with(last_chunk))
     {
         const auto more = client->read_message();
         if (more.empty())
         {
             break;
         }
-        answer += more;
+        response += more;
     }
-    EXPECT_TRUE(has(answer, "X-Server-Seal: first\r\n")) << answer;
-    EXPECT_FALSE(has(answer, "second")) << answer;
-    EXPECT_TRUE(has(answer, "data: a")) << answer;
-    EXPECT_TRUE(has(answer, "data: b")) << answer;
-    EXPECT_TRUE(has(requests.wait_for(2)[1], "Last-Event-Id: 2\r\n"));
+    EXPECT_TRUE(contains(response, "X-Server-Seal: first\r\n")) << response;
+    EXPECT_FALSE(contains(response, "second")) << response;
+    EXPECT_TRUE(contains(response, "data: a")) << response;
+    EXPECT_TRUE(contains(response, "data: b")) << response;
+    EXPECT_TRUE(contains(requests.wait_for(2)[1], "Last-Event-Id: 2\r\n"));
 }
 
 TEST_F(request_path, a_stream_that_cannot_be_resumed_is_not_run_again)
 {
     configure();
     const scripted_server one(
-        closing_after(stream_head("1") + event_chunk(1, "a")));
+        send_and_close(stream_head("1") + event_chunk(1, "a")));
     const scripted_server two(
-        closing_after(stream_head("1") + event_chunk(1, "a")));
+        send_and_close(stream_head("1") + event_chunk(1, "a")));
     add_server("a", one);
     add_server("b", two);
     const auto client = connect();
     client->send(request_for("/fixed/x"));
-    const auto answer = client->read_all();
-    EXPECT_TRUE(has(answer, "data: a")) << answer;
-    EXPECT_FALSE(answer.ends_with(last_chunk)) << "it must not look whole";
+    const auto response = client->read_all();
+    EXPECT_TRUE(contains(response, "data: a")) << response;
+    EXPECT_FALSE(response.ends_with(last_chunk)) << "it must not look whole";
     EXPECT_EQ(one.requests() + two.requests(), 1);
 }
 
 TEST_F(request_path, counts_requests_by_route_and_outcome)
 {
     configure();
-    const scripted_server server(answering("body"));
+    const scripted_server server(respond_with("body"));
     add_server("a", server);
     fetch("/safe/x");
     fetch("/other/x");
     std::string text;
     on_loop([&] { text = m_state.metrics.render(); });
-    EXPECT_TRUE(has(text, "daleshelf_gateway_requests_total{route=\"/safe/\","
-                          "outcome=\"answered\",server_hall=\"here\"} 1"))
+    EXPECT_TRUE(contains(text,
+                         "daleshelf_gateway_requests_total{route=\"/safe/\","
+                         "outcome=\"answered\",server_hall=\"here\"} 1"))
         << text;
-    EXPECT_TRUE(has(text, "outcome=\"no_route\"")) << text;
-    EXPECT_TRUE(has(text, "daleshelf_gateway_request_seconds")) << text;
+    EXPECT_TRUE(contains(text, "outcome=\"no_route\"")) << text;
+    EXPECT_TRUE(contains(text, "daleshelf_gateway_request_seconds")) << text;
 }
 
 TEST_F(request_path, a_stopping_gateway_closes_connections_and_refuses_late)
 {
     configure();
-    const scripted_server server(answering("body"));
+    const scripted_server server(respond_with("body"));
     add_server("a", server);
     on_loop(
         [&]
@@ -394,14 +396,14 @@
             m_state.is_stopping = true;
             m_state.stopping_since = monotonic::now();
         });
-    EXPECT_TRUE(has(fetch("/safe/x"), "Connection: close\r\n"));
+    EXPECT_TRUE(contains(fetch("/safe/x"), "Connection: close\r\n"));
     on_loop(
         [&] {
             m_state.stopping_since = monotonic::now() - std::chrono::seconds(4);
         });
-    const auto answer = fetch("/safe/x");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 503 ")) << answer;
-    EXPECT_TRUE(has(answer, "Retry-After: ")) << answer;
+    const auto response = fetch("/safe/x");
+    EXPECT_TRUE(contains(response, "HTTP/1.1 503 ")) << response;
+    EXPECT_TRUE(contains(response, "Retry-After: ")) << response;
 }
 
 } // namespace
--- a/tests/gateway/server_limit_test.cpp
+++ b/tests/gateway/server_limit_test.cpp
@@ -33,17 +33,17 @@
         m_limit = std::move(limit);
     }
 
-    [[nodiscard]] std::size_t arrived() const
+    [[nodiscard]] std::size_t request_count() const
     {
         const std::lock_guard guard(m_mutex);
         return m_arrivals.size();
     }
 
     /// @return the most requests that have arrived within any such time
-    [[nodiscard]] std::size_t most_within(std::chrono::seconds window) const
+    [[nodiscard]] std::size_t max_within(std::chrono::seconds window) const
     {
         const std::lock_guard guard(m_mutex);
-        std::size_t most = 0;
+        std::size_t max_count = 0;
         std::deque<std::chrono::steady_clock::time_point> recent;
         for (const auto at : m_arrivals)
         {
@@ -52,9 +52,9 @@
             {
                 recent.pop_front();
             }
-            most = std::max(most, recent.size());
+            max_count = std::max(max_count, recent.size());
         }
-        return most;
+        return max_count;
     }
 
 private:
@@ -67,15 +67,15 @@
             {
                 return;
             }
-            auto answer = make_response(id_of(request), "limited");
+            auto response = make_response(id_of(request), "limited");
             const std::lock_guard guard(m_mutex);
             m_arrivals.push_back(std::chrono::steady_clock::now());
             if (!m_limit.empty())
             {
-                answer.insert(answer.find("\r\n") + 2,
-                              concat("Server-Limit: ", m_limit, "\r\n"));
+                response.insert(response.find("\r\n") + 2,
+                                concat("Server-Limit: ", m_limit, "\r\n"));
             }
-            connection.send(answer);
+            connection.send(response);
         }
     }
 
@@ -88,7 +88,7 @@
 constexpr std::chrono::seconds window{4};
 
 /// @return the most requests that a server may get within the window
-std::size_t most_allowed(double limit)
+std::size_t max_allowed(double limit)
 {
     constexpr double factor = 1.5;
     constexpr double slack = 5;
@@ -100,7 +100,7 @@
 {
 protected:
     server_limit()
-        : m_sound(
+        : m_healthy(
               [](test_connection& connection)
               {
                   while (true)
@@ -126,7 +126,7 @@
     }
 
     /// Lets this host be the whole fleet for a while.
-    void earn()
+    void earn_quota()
     {
         on_loop(
             [&]
@@ -137,7 +137,7 @@
             });
     }
 
-    void tell(std::optional<double> limit, std::int64_t named_at_ms)
+    void merge_peer_limit(std::optional<double> limit, std::int64_t named_at_ms)
     {
         const limit_record record{{upstream_id("a"), upstream_birth()},
                                   limit,
@@ -149,16 +149,16 @@
             });
     }
 
-    scripted_server m_sound;
+    scripted_server m_healthy;
 };
 
 TEST_F(server_limit, a_server_gets_no_more_than_it_has_named)
 {
     const limited_server limited("1");
     add_server("a", limited.server());
-    add_server("b", m_sound);
+    add_server("b", m_healthy);
     fetch_repeatedly("/safe/x");
-    EXPECT_LE(limited.most_within(window), most_allowed(1));
+    EXPECT_LE(limited.max_within(window), max_allowed(1));
 }
 
 TEST_F(server_limit, a_server_gets_no_more_when_no_other_is_left)
@@ -166,16 +166,16 @@
     const limited_server limited("2");
     add_server("a", limited.server());
     fetch_repeatedly("/unsafe/x");
-    EXPECT_LE(limited.most_within(window), most_allowed(2));
+    EXPECT_LE(limited.max_within(window), max_allowed(2));
 }
 
 TEST_F(server_limit, the_limit_is_used)
 {
     const limited_server limited("200");
     add_server("a", limited.server());
-    while (limited.arrived() < 20)
+    while (limited.request_count() < 20)
     {
-        earn();
+        earn_quota();
         fetch("/unsafe/x");
     }
     SUCCEED();
@@ -201,7 +201,7 @@
         client->read_all();
         fetch("/safe/x");
     }
-    EXPECT_LE(limited.most_within(window), most_allowed(1));
+    EXPECT_LE(limited.max_within(window), max_allowed(1));
 }
 
 TEST_F(server_limit, a_request_that_no_server_has_room_for_is_rejected_at_once)
@@ -209,22 +209,22 @@
     const limited_server limited("0.5");
     add_server("a", limited.server());
     fetch("/unsafe/x");
-    const auto answer = fetch("/unsafe/x");
-    EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
-    const auto at = answer.find("Retry-After: ");
-    ASSERT_NE(at, std::string::npos) << answer;
-    EXPECT_GT(std::stod(answer.substr(at + 13)), 1.0)
+    const auto response = fetch("/unsafe/x");
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
+    const auto at = response.find("Retry-After: ");
+    ASSERT_NE(at, std::string::npos) << response;
+    EXPECT_GT(std::stod(response.substr(at + 13)), 1.0)
         << "the server takes one each two seconds";
 }
 
-TEST_F(server_limit, what_a_peer_says_holds_before_an_own_answer)
+TEST_F(server_limit, a_limit_from_a_peer_applies_before_the_first_response)
 {
     const limited_server limited("");
     add_server("a", limited.server());
-    tell(3.0, 1000);
+    merge_peer_limit(3.0, 1000);
     EXPECT_TRUE(fetch("/unsafe/x").starts_with("HTTP/1.1 503 "));
-    EXPECT_EQ(limited.arrived(), 0U);
-    tell(std::nullopt, 2000);
+    EXPECT_EQ(limited.request_count(), 0U);
+    merge_peer_limit(std::nullopt, 2000);
     on_loop([&] { m_state.choice.forget(upstream_id("a")); });
     EXPECT_TRUE(fetch("/unsafe/x").ends_with("limited"));
 }
@@ -234,7 +234,7 @@
     const limited_server limited("-1");
     add_server("a", limited.server());
     fetch_repeatedly("/unsafe/x", 30);
-    EXPECT_EQ(limited.arrived(), 30U);
+    EXPECT_EQ(limited.request_count(), 30U);
 }
 
 TEST_F(server_limit, a_server_that_no_longer_names_a_limit_has_none)
@@ -243,14 +243,14 @@
     add_server("a", limited.server());
     fetch("/unsafe/x");
     limited.set_limit("");
-    while (limited.arrived() < 2)
+    while (limited.request_count() < 2)
     {
-        earn();
+        earn_quota();
         fetch("/unsafe/x");
     }
-    const auto before = limited.arrived();
+    const auto before = limited.request_count();
     fetch_repeatedly("/unsafe/x", 30);
-    EXPECT_EQ(limited.arrived(), before + 30);
+    EXPECT_EQ(limited.request_count(), before + 30);
 }
 
 } // namespace
--- a/tests/gateway/server_notices_test.cpp
+++ b/tests/gateway/server_notices_test.cpp
@@ -13,9 +13,8 @@
 {
 
 /// Answers each request well, with fields that speak of the server.
-scripted_server::script answering_with(const std::string& fields,
-                                       const std::string& body,
-                                       int status = 200)
+scripted_server::script respond_with(const std::string& fields,
+                                     const std::string& body, int status = 200)
 {
     return [=](test_connection& connection)
     {
@@ -26,9 +25,9 @@
             {
                 return;
             }
-            auto answer = make_response(id_of(request), body, status);
-            answer.insert(answer.find("\r\n") + 2, fields);
-            connection.send(answer);
+            auto response = make_response(id_of(request), body, status);
+            response.insert(response.find("\r\n") + 2, fields);
+            connection.send(response);
         }
     };
 }
@@ -46,8 +45,8 @@
     /// among equals reaches it
     bool fetch_until(const std::string& body)
     {
-        constexpr int enough = 200;
-        for (int index = 0; index < enough; ++index)
+        constexpr int max_requests = 200;
+        for (int index = 0; index < max_requests; ++index)
         {
             if (fetch("/unsafe/x").ends_with(body))
             {
@@ -58,36 +57,36 @@
     }
 
     /// @return how many of some further requests the server has answered
-    int answered_by(const std::string& body)
+    int count_responses(const std::string& body)
     {
-        constexpr int further = 50;
-        int answered = 0;
-        for (int index = 0; index < further; ++index)
+        constexpr int request_count = 50;
+        int response_count = 0;
+        for (int index = 0; index < request_count; ++index)
         {
-            answered += fetch("/unsafe/x").ends_with(body) ? 1 : 0;
+            response_count += fetch("/unsafe/x").ends_with(body) ? 1 : 0;
         }
-        return answered;
+        return response_count;
     }
 };
 
 TEST_F(server_notices, a_server_whose_answer_says_that_it_leaves_gets_nothing)
 {
     const scripted_server leaving(
-        answering_with("Server-Leaving: 1\r\n", "leaving"));
-    const scripted_server staying(answering_with("", "staying"));
+        respond_with("Server-Leaving: 1\r\n", "leaving"));
+    const scripted_server staying(respond_with("", "staying"));
     add_server("a", leaving);
     add_server("b", staying);
     ASSERT_TRUE(fetch_until("leaving"));
-    EXPECT_EQ(answered_by("leaving"), 0);
+    EXPECT_EQ(count_responses("leaving"), 0);
 }
 
 TEST_F(server_notices, a_server_that_leaves_gets_no_repeat)
 {
     const scripted_server leaving(
-        answering_with("Server-Leaving: 1\r\n", "leaving"));
+        respond_with("Server-Leaving: 1\r\n", "leaving"));
     add_server("a", leaving);
     ASSERT_TRUE(fetch_until("leaving"));
-    const scripted_server failing(answering_with("", "failed", 500));
+    const scripted_server failing(respond_with("", "failed", 500));
     add_server("b", failing);
     for (int index = 0; index < 20; ++index)
     {
@@ -98,7 +97,7 @@
 TEST_F(server_notices, a_stream_is_not_resumed_at_a_server_that_leaves)
 {
     const scripted_server leaving(
-        answering_with("Server-Leaving: 1\r\n", "leaving"));
+        respond_with("Server-Leaving: 1\r\n", "leaving"));
     add_server("a", leaving);
     ASSERT_TRUE(fetch_until("leaving"));
     const scripted_server breaking(
@@ -111,21 +110,21 @@
     add_server("b", breaking);
     const auto client = connect();
     client->send(request_for("/stream/x"));
-    const auto answer = client->read_all();
-    EXPECT_NE(answer.find("id: 1"), std::string::npos) << answer;
-    EXPECT_EQ(answer.find("leaving"), std::string::npos) << answer;
-    EXPECT_FALSE(answer.ends_with(last_chunk)) << answer;
+    const auto response = client->read_all();
+    EXPECT_NE(response.find("id: 1"), std::string::npos) << response;
+    EXPECT_EQ(response.find("leaving"), std::string::npos) << response;
+    EXPECT_FALSE(response.ends_with(last_chunk)) << response;
 }
 
 // The head tells it: a stream may go on for many seconds.
-TEST_F(server_notices, the_head_of_a_stream_that_goes_on_is_enough)
+TEST_F(server_notices, a_notice_in_the_head_of_an_open_stream_applies_at_once)
 {
-    std::atomic<int> asked = 0;
+    std::atomic<int> attempts = 0;
     const scripted_server leaving(
         [&](test_connection& connection)
         {
             const auto request = connection.read_message();
-            ++asked;
+            ++attempts;
             auto head = stream_head(id_of(request));
             head.insert(head.find("\r\n") + 2, "Server-Leaving: 1\r\n");
             connection.send(head + event_chunk(1, "x"));
@@ -135,19 +134,19 @@
     const auto client = connect();
     client->send(request_for("/stream/x"));
     client->read_message();
-    const auto answer = fetch("/unsafe/x");
-    EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
-    EXPECT_EQ(asked, 1);
+    const auto response = fetch("/unsafe/x");
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
+    EXPECT_EQ(attempts, 1);
 }
 
-TEST_F(server_notices, an_answer_to_another_request_tells_of_its_server_too)
+TEST_F(server_notices, a_notice_in_a_response_to_another_request_applies_too)
 {
-    std::atomic<int> asked = 0;
+    std::atomic<int> attempts = 0;
     const scripted_server leaving(
         [&](test_connection& connection)
         {
             const auto request = connection.read_message();
-            ++asked;
+            ++attempts;
             auto other = make_response("another", "late");
             other.insert(other.find("\r\n") + 2, "Server-Leaving: 1\r\n");
             connection.send(other + make_response(id_of(request), "own"));
@@ -156,7 +155,7 @@
     add_server("a", leaving);
     EXPECT_TRUE(fetch("/unsafe/x").ends_with("own"));
     EXPECT_TRUE(fetch("/unsafe/x").starts_with("HTTP/1.1 503 "));
-    EXPECT_EQ(asked, 1);
+    EXPECT_EQ(attempts, 1);
 }
 
 } // namespace
--- a/tests/gateway/server_rest_test.cpp
+++ b/tests/gateway/server_rest_test.cpp
@@ -13,12 +13,12 @@
 {
 
 /// Turns requests away, and counts them.
-class resting_server
+class rejecting_server
 {
 public:
-    explicit resting_server(const std::string& seconds)
+    explicit rejecting_server(const std::string& seconds)
         : m_server([this, seconds](test_connection& connection)
-                   { turn_away(connection, seconds); })
+                   { reject_all(connection, seconds); })
     {
     }
 
@@ -27,13 +27,13 @@
         return m_server;
     }
 
-    [[nodiscard]] int asked() const
+    [[nodiscard]] int request_count() const
     {
-        return m_asked;
+        return m_request_count;
     }
 
 private:
-    void turn_away(test_connection& connection, const std::string& seconds)
+    void reject_all(test_connection& connection, const std::string& seconds)
     {
         while (true)
         {
@@ -42,7 +42,7 @@
             {
                 return;
             }
-            ++m_asked;
+            ++m_request_count;
             connection.send(
                 concat("HTTP/1.1 503 Full\r\nX-Attempt-Id: ", id_of(request),
                        "\r\nX-Not-Executed: 1\r\nRetry-After: ", seconds,
@@ -50,7 +50,7 @@
         }
     }
 
-    std::atomic<int> m_asked = 0;
+    std::atomic<int> m_request_count = 0;
     scripted_server m_server;
 };
 
@@ -58,7 +58,7 @@
 {
 protected:
     server_rest()
-        : m_sound(
+        : m_healthy(
               [](test_connection& connection)
               {
                   while (true)
@@ -73,36 +73,37 @@
               })
     {
         configure();
-        add_server("b", m_sound);
+        add_server("b", m_healthy);
     }
 
-    scripted_server m_sound;
+    scripted_server m_healthy;
 };
 
 TEST_F(server_rest, a_server_that_asks_for_rest_gets_none_of_the_next_requests)
 {
-    const resting_server resting("60");
-    add_server("a", resting.server());
-    constexpr int enough = 200;
-    for (int index = 0; index < enough && resting.asked() == 0; ++index)
+    const rejecting_server rejecting("60");
+    add_server("a", rejecting.server());
+    constexpr int max_requests = 200;
+    for (int index = 0; index < max_requests && rejecting.request_count() == 0;
+         ++index)
     {
         fetch("/unsafe/x");
     }
-    ASSERT_EQ(resting.asked(), 1);
+    ASSERT_EQ(rejecting.request_count(), 1);
     // Longer than a refusal alone makes a server be passed over.
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    for (int index = 0; index < enough; ++index)
+    for (int index = 0; index < max_requests; ++index)
     {
         EXPECT_TRUE(fetch("/unsafe/x").ends_with("good"));
     }
-    EXPECT_EQ(resting.asked(), 1);
+    EXPECT_EQ(rejecting.request_count(), 1);
 }
 
 TEST_F(server_rest, neither_repeats_nor_resumes_go_to_a_server_that_rests)
 {
-    const resting_server resting("60");
-    add_server("a", resting.server());
-    for (int index = 0; index < 200 && resting.asked() == 0; ++index)
+    const rejecting_server rejecting("60");
+    add_server("a", rejecting.server());
+    for (int index = 0; index < 200 && rejecting.request_count() == 0; ++index)
     {
         fetch("/unsafe/x");
     }
@@ -119,35 +120,35 @@
     client->send(request_for("/stream/x"));
     client->read_all();
     fetch("/safe/x");
-    EXPECT_EQ(resting.asked(), 1);
+    EXPECT_EQ(rejecting.request_count(), 1);
 }
 
-TEST_F(server_rest, when_all_rest_a_client_hears_when_the_first_is_over)
+TEST_F(server_rest, when_all_back_off_retry_after_names_the_first_ready_one)
 {
     on_loop([&] { m_state.servers.remove(upstream_id("b")); });
-    const resting_server longer("4");
-    const resting_server shorter("3");
+    const rejecting_server longer("4");
+    const rejecting_server shorter("3");
     add_server("a", longer.server());
     add_server("c", shorter.server());
     // The first tries both: neither has run it.
     fetch("/unsafe/x");
-    const auto answer = fetch("/unsafe/x");
-    EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
-    const auto at = answer.find("Retry-After: ");
-    ASSERT_NE(at, std::string::npos) << answer;
-    const auto seconds = std::stod(answer.substr(at + 13));
+    const auto response = fetch("/unsafe/x");
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
+    const auto at = response.find("Retry-After: ");
+    ASSERT_NE(at, std::string::npos) << response;
+    const auto seconds = std::stod(response.substr(at + 13));
     EXPECT_LE(seconds, 3.0);
     EXPECT_GT(seconds, 0.25) << "less than the time to rest, and no flat time";
-    EXPECT_EQ(longer.asked() + shorter.asked(), 2);
+    EXPECT_EQ(longer.request_count() + shorter.request_count(), 2);
 }
 
 TEST_F(server_rest, a_server_that_has_rested_is_asked_again)
 {
     on_loop([&] { m_state.servers.remove(upstream_id("b")); });
-    const resting_server resting("0.05");
-    add_server("a", resting.server());
+    const rejecting_server rejecting("0.05");
+    add_server("a", rejecting.server());
     fetch("/unsafe/x");
-    while (resting.asked() < 2)
+    while (rejecting.request_count() < 2)
     {
         fetch("/unsafe/x");
     }
