--- a/services/gateway/async_event.hpp
+++ b/services/gateway/async_event.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An event that one coroutine waits for.
+/// An auto-reset event for coroutines.
 #pragma once
 
 #include "asio.hpp"
@@ -7,7 +7,8 @@
 namespace daleshelf
 {
 
-/// Set by anyone, awaited by one coroutine, reset by the wait that sees it.
+/// An auto-reset event, awaited by one coroutine at a time. Any code on the
+/// event loop can set it; the wait that observes it resets it.
 class async_event
 {
 public:
@@ -16,7 +17,8 @@
     {
     }
 
-    /// Wakes the coroutine that waits, or the next one that does.
+    /// Sets the event: wakes the waiting coroutine, or lets the next wait
+    /// return at once.
     void notify()
     {
         m_is_set = true;
--- a/services/gateway/byte_channel.cpp
+++ b/services/gateway/byte_channel.cpp
@@ -9,7 +9,8 @@
 {
 
 constexpr std::size_t read_size = 8192;
-// More than a head and a piece of a body; a peer that sends on waits.
+// Larger than a head and a piece of a body. Beyond it the peer gets TCP
+// backpressure.
 constexpr std::size_t max_input = 262144;
 
 } // namespace
@@ -69,7 +70,7 @@
     {
         co_return result;
     }
-    // Most writes fit the socket's buffer: no need to suspend for them.
+    // Most writes fit into the socket's buffer and need no suspension.
     error_code error;
     result.size = m_socket.write_some(
         asio::const_buffer(bytes.data(), bytes.size()), error);
@@ -157,8 +158,8 @@
             asio::mutable_buffer(bytes.data(), bytes.size()), use_result);
         if (m_connection_state != channel_state::open)
         {
-            // Closed while these bytes were on their way here: nobody could
-            // answer the request that they may hold.
+            // The connection was closed while these bytes were being delivered:
+            // a request in them could not be answered any more.
             co_return;
         }
         if (error)
--- a/services/gateway/byte_channel.hpp
+++ b/services/gateway/byte_channel.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A TCP connection that is always read, so that its end is seen at once.
+/// A TCP connection that is read continuously, so that a close is seen at once.
 #pragma once
 
 #include "async_event.hpp"
@@ -13,16 +13,16 @@
 namespace daleshelf
 {
 
-/// How a connection has ended.
+/// State of a connection.
 enum class channel_state
 {
     open,
-    finished, ///< the peer has closed it in order
+    finished, ///< the peer has closed its side in order
     broken,   ///< reset, timed out, or closed here
 };
 
-/// Reads whatever comes into a bounded buffer while others write. One
-/// coroutine at a time consumes what has come.
+/// Reads all input into a bounded buffer, independently of writes. One
+/// coroutine at a time consumes the input.
 class byte_channel : public std::enable_shared_from_this<byte_channel>
 {
 public:
@@ -31,25 +31,25 @@
     byte_channel& operator=(const byte_channel&) = delete;
     ~byte_channel() = default;
 
-    /// Begins to read.
+    /// Starts reading.
     void start();
 
-    /// @return bytes that have come and were not consumed
+    /// @return the received bytes that were not consumed yet
     [[nodiscard]] std::string_view input() const
     {
         return std::string_view(m_input).substr(m_consumed);
     }
 
-    /// Drops the first bytes of the input.
+    /// Removes bytes from the start of the input.
     void consume(std::size_t size);
 
-    /// Waits for more bytes, or for the connection's end.
-    /// @return whether either has come before the deadline
+    /// Waits for more input, or for the connection to close.
+    /// @return whether either happened before the deadline
     awaitable<bool> wait_input(monotonic::time_point deadline);
 
     /// Writes all bytes.
-    /// @param until when the connection is reset if the peer has not taken them
-    /// @return bytes that were taken, and whether all were
+    /// @param until when the connection is reset if bytes are still unsent
+    /// @return the number of bytes written, and whether all were
     struct write_result
     {
         std::size_t size = 0;
@@ -59,14 +59,14 @@
     write(std::string_view bytes,
           std::optional<monotonic::time_point> until = std::nullopt);
 
-    /// Ends the connection; every wait returns.
+    /// Closes the connection; all pending waits return.
     void close();
 
-    /// Ends the connection by a reset: bytes that a cut holds up are dropped
-    /// instead of arriving long after they were given up.
+    /// Resets the connection: unsent bytes, as held up by a network cut, are
+    /// dropped instead of arriving long after the request was aborted.
     void reset();
 
-    /// Tells the peer that nothing more comes, and goes on reading.
+    /// Closes the sending side and continues to read.
     void finish_sending();
 
     [[nodiscard]] channel_state connection_state() const
@@ -74,14 +74,14 @@
         return m_connection_state;
     }
 
-    /// @return whether the connection is open and has brought nothing unread,
-    /// as it must be before the next message
+    /// @return whether the connection is open and has no unread input, as
+    /// required before the next message
     [[nodiscard]] bool is_idle() const
     {
         return m_connection_state == channel_state::open && input().empty();
     }
 
-    /// Called once when the connection has ended, while it is being read.
+    /// Sets the handler called once when the open connection closes.
     void set_close_handler(std::function<void()> handler)
     {
         m_close_handler = std::move(handler);
@@ -92,7 +92,7 @@
         return m_socket;
     }
 
-    /// @return since when a write has been under way, if one is
+    /// @return when the blocked write in progress started, if there is one
     [[nodiscard]] std::optional<monotonic::time_point> writing_since() const
     {
         return m_writing_since;
--- a/services/gateway/client_response.cpp
+++ b/services/gateway/client_response.cpp
@@ -103,7 +103,7 @@
     m_constraints.allows_keep_alive = false;
     if (!m_constraints.allows_chunked)
     {
-        // Without framing, an orderly close would look like the answer's end.
+        // Without framing, an orderly close would look like a complete body.
         m_channel.reset();
         return;
     }
--- a/services/gateway/client_response.hpp
+++ b/services/gateway/client_response.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Where the answer to one request goes.
+/// The response to one client request.
 #pragma once
 
 #include "byte_channel.hpp"
@@ -11,15 +11,16 @@
 namespace daleshelf
 {
 
-/// What the client allows of its answer's form.
+/// What the request allows in its response.
 struct response_constraints
 {
-    bool allows_keep_alive = true; ///< its connection may be used again
-    bool allows_chunked = true;    ///< it speaks HTTP/1.1
-    bool omits_body = false;       ///< it has sent HEAD
+    bool allows_keep_alive = true; ///< the connection can be reused
+    bool allows_chunked = true;    ///< the client speaks HTTP/1.1
+    bool omits_body = false;       ///< the request is HEAD
 };
 
-/// Writes one answer to one client.
+/// Writes the response to one request on the client's connection. All writing
+/// functions return whether the client accepted the bytes.
 class client_response
 {
 public:
@@ -29,23 +30,23 @@
     {
     }
 
-    /// Sends a whole answer of a server.
+    /// Sends a complete response from an upstream.
     awaitable<bool> send_complete(const response_head& head, std::string body);
 
-    /// Sends an answer of the gateway's own.
-    /// @param extra header fields, as bytes
+    /// Sends a response without a body that the gateway itself generates.
+    /// @param extra serialized header fields
     awaitable<bool> send_local(int status, std::string_view extra);
 
-    /// Begins an answer that comes in pieces.
+    /// Begins a streamed response with its head and first piece.
     awaitable<bool> begin(const response_head& head, std::string_view piece);
 
-    /// Sends the next piece.
+    /// Sends the next piece of a streamed response.
     awaitable<bool> append(std::string_view piece);
 
-    /// Ends an answer that came in pieces.
+    /// Ends a streamed response.
     awaitable<bool> finish();
 
-    /// Ends the connection so that the answer shows as incomplete.
+    /// Closes the connection so that the client sees an incomplete response.
     void abort();
 
     [[nodiscard]] bool has_begun() const
@@ -53,7 +54,7 @@
         return m_has_begun;
     }
 
-    /// @return whether the next request may come on the same connection
+    /// @return whether the connection can carry another request
     [[nodiscard]] bool keeps_alive() const
     {
         return m_constraints.allows_keep_alive;
--- a/services/gateway/client_session.cpp
+++ b/services/gateway/client_session.cpp
@@ -90,7 +90,7 @@
     }
 }
 
-// @return whether there is a whole request
+// @return whether a complete request was read
 awaitable<bool> client_session::read_request(client_request& request)
 {
     const auto limits = limits_of(m_state);
@@ -160,7 +160,7 @@
     co_return false;
 }
 
-// @return whether the connection goes on
+// @return whether the connection can carry another request
 awaitable<bool> client_session::serve(client_request request)
 {
     response_constraints constraints;
@@ -193,8 +193,9 @@
     co_await response.send_local(status, "");
 }
 
-// Answers a request that cannot be read. What else comes is read and dropped
-// for a moment: closing with unread bytes would reset the answer away.
+// Rejects a request that cannot be parsed, then reads and discards further
+// input for a moment: closing with unread bytes would send a reset, and the
+// client could lose the response.
 awaitable<void> client_session::reject_unreadable(const parse_error& error)
 {
     const auto status = status_of(error.fault());
--- a/services/gateway/client_session.hpp
+++ b/services/gateway/client_session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One connection of a client.
+/// A client connection.
 #pragma once
 
 #include "gateway_state.hpp"
@@ -11,22 +11,22 @@
 namespace daleshelf
 {
 
-/// Reads requests from one connection and serves them one after the other.
+/// Reads requests from one client connection and serves them sequentially.
 class client_session : public std::enable_shared_from_this<client_session>
 {
 public:
     client_session(gateway_state& state, asio::ip::tcp::socket socket);
 
-    /// Serves the connection until it ends.
+    /// Serves the connection until it is closed.
     awaitable<void> run();
 
-    /// Ends the connection if it rests; a planned stop.
+    /// Closes the connection if no request is in progress; used to drain.
     void close_if_idle();
 
-    /// Ends the connection if its client has not taken bytes for too long.
+    /// Closes the connection if a write has been stalled for too long.
     void close_if_stalled(monotonic::time_point now);
 
-    /// Ends the connection at once.
+    /// Closes the connection at once.
     void close()
     {
         m_channel->close();
@@ -41,7 +41,7 @@
     gateway_state& m_state;
     std::shared_ptr<byte_channel> m_channel;
     request_flow* m_flow = nullptr;
-    bool m_is_reading = false; ///< bytes of a request have come
+    bool m_is_reading = false; ///< a request is partly received
 };
 
 } // namespace daleshelf
--- a/services/gateway/crash_detector.cpp
+++ b/services/gateway/crash_detector.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-// What is let go runs on for some 0.1 s at most servers; others show the end
-// of a busy one within that time again.
+// An aborted request runs on for about 0.1 s at most upstreams. Within as much
+// time again, other requests reveal the crash of a busy upstream.
 constexpr absl::Duration attempt_retention = absl::Seconds(2);
-// Of 0.3 KB each: two seconds of 250 requests that are let go.
+// 0.3 KB each; holds two seconds of 250 aborted requests per second.
 constexpr std::size_t max_unfinished_attempts = 512;
-// A port that nobody listens on answers within a round trip.
+// A closed port refuses within a round trip.
 constexpr milliseconds probe_timeout{300};
-// In which a server that drops what is let go has ended or lives on.
+// By then an upstream that cancels aborted requests has crashed or survived.
 constexpr milliseconds probe_delay{250};
 
 // @return whether the port refuses connections
@@ -65,8 +65,8 @@
     : m_state(state)
     , m_unfinished_attempts(max_unfinished_attempts, attempt_retention)
 {
-    // Many requests that end a server are let go before: what shows its end is
-    // then a connection that waits for the next request, or that next one.
+    // Many requests that crash an upstream are aborted before the crash. Then
+    // only an idle pooled connection, or the next connect, reveals it.
     state.pool.set_failure_listener(
         [this](const upstream_id& server, bool is_refused)
         {
@@ -132,7 +132,7 @@
         m_running_probes.try_emplace(instance, false);
     if (!is_first)
     {
-        // The answer under way may be older than this sign.
+        // The result of the running probe may predate this sign.
         running_probe->second = true;
         co_return;
     }
@@ -176,8 +176,8 @@
     }
 }
 
-// How long it was there counts to the end, since how long it ran on after it
-// was let go is not known.
+// The run time counts up to the crash, since it is unknown how long an aborted
+// request ran on.
 void crash_detector::record_crash_of(const server_life& instance,
                                      const open_attempt& attempt,
                                      crash_sign sign)
--- a/services/gateway/crash_detector.hpp
+++ b/services/gateway/crash_detector.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How this host notices that servers have ended.
+/// Detection of upstream crashes.
 #pragma once
 
 #include "asio.hpp"
@@ -14,43 +14,49 @@
 
 struct gateway_state;
 
-/// What showed that a server may have ended.
+/// What indicates that an upstream may have crashed.
 enum class crash_sign
 {
-    broken,    ///< an attempt broke
-    abandoned, ///< a suspected request was let go before it was answered
-    refused,   ///< nobody listens at its port
-    closed,    ///< a kept connection ended
-    listed,    ///< it is no longer listed, or as another life
-    reported,  ///< another host has seen it
+    broken,    ///< an attempt's connection broke
+    abandoned, ///< a suspected request was aborted before its response
+    refused,   ///< its port refuses connections
+    closed,    ///< an idle pooled connection was closed
+    listed,    ///< it was delisted, or listed with a new incarnation
+    reported,  ///< another host has reported it
 };
 
-/// Notes every request that was at a server when it ended, also those that
-/// nobody waits for any more. See docs/design/poison.md, "What is an end".
+/// Detects crashes of upstreams, and records them as evidence against every
+/// request that ran there, also those whose client no longer waits. See
+/// docs/design/poison.md, "What is an end".
 class crash_detector
 {
 public:
     explicit crash_detector(gateway_state& state);
 
-    /// Notes that an attempt has ended without the server's answer.
+    /// Records an attempt that ended without the upstream's response.
+    /// @param started when it was sent, monotonic
     void record_unfinished_attempt(const server_entry& server,
                                    const suspect_request& request,
                                    absl::Time started);
 
-    /// Asks the server's port whether anybody listens, if some request was
-    /// there lately. A cut, or one connection that was closed, is no end;
-    /// neither is one of a server that was to leave.
+    /// Probes the upstream's port, and records a crash if it refuses
+    /// connections. A network cut or a single closed connection is no crash,
+    /// and neither is the exit of an upstream that is draining or being
+    /// replaced.
     awaitable<void> probe(server_entry server, crash_sign sign);
 
-    /// Asks in the background.
+    /// Starts a probe in the background, if an unfinished attempt is recorded
+    /// for the upstream. A refused connection needs no probe: it records the
+    /// crash.
     void start_probe(const server_entry& server, crash_sign sign);
 
-    /// Asks once the request that was let go can have ended the server; until
-    /// then it counts as under way.
+    /// Starts a probe after the time in which an aborted request can still
+    /// crash the upstream. Until the probe ends the request counts as in
+    /// flight.
     void start_delayed_probe(const server_entry& server,
                              const suspect_request& request);
 
-    /// Notes that the life is over, as is known for sure.
+    /// Records that this incarnation of an upstream has certainly crashed.
     void record_crash(const server_life& instance, crash_sign sign);
 
 private:
@@ -63,11 +69,11 @@
 
     gateway_state& m_state;
     open_attempts m_unfinished_attempts;
-    /// Lives whose ports are being asked, and whether to ask once more then.
+    /// Incarnations being probed, and whether to probe them once more.
     std::map<server_life, bool> m_running_probes;
 };
 
-/// @return its name in the log
+/// @return the name of the sign in the log
 [[nodiscard]] std::string_view name_of(crash_sign sign);
 
 } // namespace daleshelf
--- a/services/gateway/http_call.hpp
+++ b/services/gateway/http_call.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Calls of the gateway itself, to the platform and to peers.
+/// HTTP client for the gateway's own calls to the platform and to peers.
 #pragma once
 
 #include "byte_channel.hpp"
@@ -12,16 +12,16 @@
 namespace daleshelf
 {
 
-/// A whole answer to a call.
+/// The complete response to a call.
 struct call_response
 {
     int status = 0;
     std::string body;
 };
 
-/// Makes calls to one address, one at a time, on one kept connection. After a
-/// call without an answer the connection is given up, since an answer that
-/// was lost may hold up those behind it.
+/// Makes calls to one address, one at a time, on one persistent connection.
+/// After a call without a response the connection is reset, since a lost
+/// response can delay those behind it.
 class http_caller
 {
 public:
@@ -31,14 +31,14 @@
     http_caller(const http_caller&) = delete;
     http_caller& operator=(const http_caller&) = delete;
 
-    /// @param extra header fields, as bytes
-    /// @param time longest wait for the whole answer
-    /// @return the answer, or nothing
+    /// @param timeout limit for the complete response
+    /// @param extra_fields serialized header fields
+    /// @return the response, or nothing if the call failed or timed out
     awaitable<std::optional<call_response>> call(platform::store_call call,
                                                  milliseconds timeout,
                                                  std::string extra_fields = "");
 
-    /// Gives up the call under way.
+    /// Aborts the call in progress.
     void interrupt();
 
 private:
--- a/services/gateway/request_choice.cpp
+++ b/services/gateway/request_choice.cpp
@@ -1,5 +1,4 @@
-// How a request's flow chooses a server, and takes its part of that server's
-// limit.
+// Choice of an upstream for a request, within the upstream's rate limit.
 #include "request_flow.hpp"
 
 #include <algorithm>
@@ -21,9 +20,9 @@
     return wanted;
 }
 
-// A few first attempts are tried with the version that the service may move to;
-// one that cannot be goes the usual way.
-// @param wanted its version is set if the request is tried with that
+// Sends a share of the first attempts to the target version of a rollout. If no
+// upstream of that version can respond in time, the usual choice applies.
+// @param wanted its version is set if the attempt goes to the target version
 const server_entry* request_flow::choose_server(choice_request& wanted)
 {
     const auto now = gateway_state::now();
@@ -43,8 +42,8 @@
     return m_state.choice.choose(wanted, now);
 }
 
-// The best server that has room within its limit.
-// @param wanted takes those that have none
+// Chooses the best upstream whose rate limit admits the request.
+// @param wanted its excluded set receives the upstreams without room
 awaitable<std::optional<request_flow::permitted_server>>
 request_flow::choose_permitted_server(choice_request& wanted)
 {
@@ -62,7 +61,7 @@
             wanted.excluded.insert(chosen.id);
             continue;
         }
-        // It may have begun to leave while its limit was asked for.
+        // It may have started to drain while the permit was acquired.
         if (m_state.servers.is_usable(chosen.id))
         {
             co_return permitted_server{chosen, std::move(*permit)};
@@ -71,8 +70,8 @@
     }
 }
 
-// No server has taken the request. Its client may come back when the first of
-// them is to be asked again.
+// Rejects a request that no upstream has accepted. Retry-After names the time
+// at which the first of them accepts requests again.
 awaitable<void> request_flow::reject_unserved(attempt_result result)
 {
     refund_quota();
--- a/services/gateway/request_engines.cpp
+++ b/services/gateway/request_engines.cpp
@@ -1,4 +1,4 @@
-// What a request's flow tells of engines, and expects of them.
+// Statistics of engines from requests, and the expected time to first event.
 #include "request_flow.hpp"
 
 #include <algorithm>
@@ -7,9 +7,10 @@
 namespace daleshelf
 {
 
-// Whether the request cannot begin in time even at the best server: waiting
-// would only cost its client the time.
-// @return after how long places are expected to be free, in ms
+// Predicts whether the first event would miss the deadline even at the best
+// upstream. Rejecting at once then saves the client the wait.
+// @return the time in ms after which slots are expected to be free, or nothing
+// if the deadline can be met
 std::optional<milliseconds>
 request_flow::retry_delay_if_too_late(const server_entry& server,
                                       const choice_request& wanted) const
@@ -28,7 +29,8 @@
     return expected - m_route->objective;
 }
 
-// What the head's time, which is that of the first event, shows of a version.
+// Records the time to first event, which is that of the head, for the rollout's
+// comparison of versions: for engines in percent of the expected time.
 void request_flow::record_first_event(const response_head& head,
                                       monotonic::duration time)
 {
@@ -40,7 +42,8 @@
     }
 }
 
-// What an attempt that has reached a server shows of its version.
+// Records the result of an attempt for the rollout's comparison of versions.
+// Attempts that did not run, or whose client left, do not count.
 void request_flow::record_version_result(const server_entry& server,
                                          attempt_result result,
                                          monotonic::duration time)
@@ -62,7 +65,7 @@
                                  m_seen);
 }
 
-// What the request asks of the service's engines, for whoever orders servers.
+// Records the work that the request brings, as input for autoscaling.
 void request_flow::record_demand()
 {
     if (!m_service->is_engine)
@@ -76,8 +79,8 @@
     load.samples.add({tokens, static_cast<double>(m_route->objective.count())});
 }
 
-// One that had to wait for a place, or that goes on elsewhere, tells nothing
-// of the time to read.
+// Feeds the time to first event to the estimate of the prefill time. Requests
+// that waited for a slot, and resumed streams, would distort it.
 void request_flow::record_prefill_time(const server_entry& server,
                                        const response_head& head,
                                        monotonic::duration time)
@@ -97,7 +100,8 @@
     m_state.engines.of(m_service->name).note_prompt(seen, gateway_state::now());
 }
 
-// A stream that came whole from one server tells how fast that generates.
+// Feeds the duration of a stream to the estimate of the generation speed. Only
+// streams that came completely from one upstream count.
 void request_flow::record_generation_time(std::int64_t events,
                                           monotonic::duration time)
 {
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -18,10 +18,10 @@
 constexpr int priorities_per_tenant = 3;
 constexpr int lowest_priority = 9;
 
-// A stopping process begins nothing later than this after it was told.
+// Requests that arrive later than this after the stop are rejected.
 constexpr milliseconds stop_accept_window{2900};
 
-// When a client may come back, by why it was refused.
+// Retry-After of requests that this host cannot route.
 constexpr milliseconds retry_when_unconfigured{1000};
 
 } // namespace
@@ -60,10 +60,10 @@
     }
 }
 
-// Steps 1 to 4: what is asked, by whom, and whether it is within the quota.
+// Steps 1 to 4: validates the request; finds its route, workspace and quota.
 awaitable<bool> request_flow::admit()
 {
-    // 1. A request without an id cannot be told from others.
+    // 1. Without an id, responses cannot be matched to the request.
     if (!platform::has_valid_id(m_request.head.fields))
     {
         co_await fail(http_status::bad_request, "no_request_id");
@@ -89,7 +89,7 @@
         co_await fail(http_status::not_found, "no_route");
         co_return false;
     }
-    // 3. The tenant.
+    // 3. The workspace.
     if (!m_route->is_public && !m_routes->configuration().tenants.empty())
     {
         m_tenant = m_routes->find_tenant(m_facts.key);
@@ -143,7 +143,7 @@
     co_return true;
 }
 
-// Step 5: servers, one after the other.
+// Step 5: attempts upstreams, one after the other.
 awaitable<void> request_flow::try_servers()
 {
     while (true)
@@ -297,7 +297,7 @@
         (result == attempt_result::abandoned || result == attempt_result::late);
     if (suspect && is_abandoned)
     {
-        // It may still end the server: nobody else sends it meanwhile.
+        // It may still crash the upstream, so it stays in flight until probed.
         m_state.crashes.start_delayed_probe(server, *suspect);
     }
     else if (suspect)
@@ -320,7 +320,7 @@
     }
 }
 
-// Step 6: whether another server may get the request.
+// Step 6: whether the request can be sent to another upstream.
 bool request_flow::can_retry(attempt_result result)
 {
     if (result == attempt_result::late || time_left().count() <= 0)
@@ -329,7 +329,7 @@
     }
     if (result == attempt_result::not_reached)
     {
-        // Nothing has arrived anywhere: no retry in the budget's sense.
+        // Nothing was delivered, so this does not consume the retry budget.
         return ++m_failed_connects < max_failed_connects;
     }
     const bool can_run_again =
@@ -348,7 +348,7 @@
            m_state.retries.try_take(m_service->name);
 }
 
-// Step 7: the final answer, at once.
+// Step 7: sends the final response of a request that no attempt has answered.
 awaitable<void> request_flow::finish_failed(attempt_result result)
 {
     if (m_response.has_begun())
@@ -375,7 +375,7 @@
                   is_late ? "deadline" : "may_have_run");
 }
 
-// The request has not run and never will.
+// Rejects a request that has not run and never will.
 awaitable<void> request_flow::reject(int status, std::string_view reason,
                                      std::optional<milliseconds> retry_after)
 {
@@ -383,7 +383,7 @@
                                  retry_after);
 }
 
-// Nothing is promised of whether the request has run, or coming back is no use.
+// Fails a request that may have run, or that a retry cannot help.
 awaitable<void> request_flow::fail(int status, std::string_view reason)
 {
     co_await send_local_response(events::request_failed, status, reason,
@@ -465,8 +465,8 @@
     return bytes;
 }
 
-// @return whether this process may end before the request could: the balancer
-// has had the time to choose others by now
+// @return whether this process may exit before the request completes; by then
+// the load balancer has had time to route requests to other hosts
 bool request_flow::is_past_stop_window() const
 {
     return m_state.is_stopping &&
--- a/services/gateway/request_flow.hpp
+++ b/services/gateway/request_flow.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The way of one request through the gateway.
+/// Handles one client request, from admission to its final response.
 #pragma once
 
 #include "client_response.hpp"
@@ -18,7 +18,7 @@
 namespace daleshelf
 {
 
-/// One whole request of a client.
+/// A completely received client request.
 struct client_request
 {
     request_head head;
@@ -26,10 +26,11 @@
     monotonic::time_point received{};
 };
 
-/// Decides, sends and answers one request: finds its route and tenant, takes
-/// its quota, and tries servers until one has answered, or until nothing more
-/// may be tried. Every request gets exactly one final answer, at once when it
-/// is known. The steps are those of docs/design/platform.md, "One request".
+/// Routes, sends, retries and answers one request: finds its route and
+/// workspace, takes its quota, and attempts upstreams until one has responded
+/// or no further attempt is allowed. Every request gets exactly one final
+/// response, sent as soon as it is known. The steps are those of
+/// docs/design/platform.md, "One request".
 class request_flow
 {
 public:
@@ -39,33 +40,34 @@
     request_flow(const request_flow&) = delete;
     request_flow& operator=(const request_flow&) = delete;
 
-    /// Serves the request to its end.
+    /// Processes the request until its final response is sent.
     awaitable<void> run();
 
-    /// The client has left: the server is freed at once.
+    /// Handles the client's disconnect: aborts the attempt in flight, so that
+    /// the upstream is released at once.
     void cancel();
 
 private:
-    /// How one attempt has ended.
+    /// Result of one attempt.
     enum class attempt_result
     {
-        answered,     ///< the client has its whole answer
-        not_run,      ///< certainly not run; may be tried elsewhere
-        not_reached,  ///< no connection; nothing has arrived
-        server_error, ///< run; the server's own failure is kept
-        broken,       ///< may have run, or an answer was cut off
-        late,         ///< the time is over
-        abandoned,    ///< the client has left
+        answered,     ///< the client has the complete response
+        not_run,      ///< certainly not executed; can be retried elsewhere
+        not_reached,  ///< no connection, nothing was delivered
+        server_error, ///< executed; the upstream's 5xx response is kept
+        broken,       ///< may have run, or its response was cut off
+        late,         ///< the deadline has passed
+        abandoned,    ///< the client has disconnected
     };
 
-    /// A server that may get the request, within its limit.
+    /// A chosen upstream, with the permit to send it one request.
     struct permitted_server
     {
         server_entry server;
         send_permit permit;
     };
 
-    // When a client may come back that was refused.
+    // Retry-After of rejected requests.
     static constexpr milliseconds retry_when_full{250};
     static constexpr milliseconds max_retry_after{5000};
     static constexpr std::size_t max_named = 4;
@@ -142,26 +144,26 @@
     const ingress_service* m_service = nullptr;
     monotonic::time_point m_deadline{};
     double m_quota_cost = 0;
-    std::string m_quota_verdict; ///< how it was found, for logs
+    std::string m_quota_verdict; ///< how the verdict was reached, for logs
     bool m_is_usage_counted = false;
-    bool m_was_sent = false; ///< in the last attempt, to the server
+    bool m_was_sent = false; ///< whether the last attempt sent anything
     std::string m_server_hall;
     bool m_is_cancelled = false;
     bool m_may_have_run = false;
-    int m_attempts = 0;             ///< that have reached a server
+    int m_attempts = 0;             ///< attempts that have reached an upstream
     expected_work m_work;           ///< of the last attempt
     double m_expected_first_ms = 0; ///< of the last attempt, at an engine
     answer_seen m_seen;             ///< of the last attempt
     int m_failed_connects = 0;
     absl::flat_hash_set<upstream_id> m_tried;
-    /// Servers without room within their limits, for the log.
+    /// Upstreams passed over because their limits are used up, for the log.
     name_batch m_passed_over{max_named};
     absl::flat_hash_set<hall_id> m_broken_halls;
     std::optional<std::int64_t> m_last_event;
     std::optional<std::int64_t> m_weights_version;
     server_exchange* m_exchange = nullptr;
     std::optional<std::pair<response_head, std::string>> m_error_response;
-    /// Known of only if it may end servers.
+    /// Set only if the request is suspected of crashing upstreams.
     std::optional<suspect_request> m_suspect;
 };
 
--- a/services/gateway/request_log.cpp
+++ b/services/gateway/request_log.cpp
@@ -1,4 +1,4 @@
-// What a request's flow logs and counts of its end.
+// Log lines and metrics of attempts and completed requests.
 #include "request_flow.hpp"
 
 #include <array>
--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -1,5 +1,5 @@
-// How a request's flow treats requests that may end servers. The steps are
-// those of docs/design/poison.md, "What is done".
+// Handling of queries of death: requests that may crash upstreams. The steps
+// are those of docs/design/poison.md, "What is done".
 #include "request_flow.hpp"
 
 #include <base/http_status.hpp>
@@ -10,12 +10,12 @@
 namespace
 {
 
-// Until the one that is on its way has shown what it does: the longest
-// objective of a first event in use is 1.2 s.
+// Retry-After of a suspected request, for the attempt in flight to show its
+// effect. The longest objective in use for a first event is 1.2 s.
 constexpr milliseconds retry_when_suspected{1000};
-// In which other hosts' words have come, and the tick in which they are read.
+// Covers the arrival of other hosts' reports and the tick that processes them.
 constexpr milliseconds report_wait{300};
-// Whoever has less time than so many holds is told at once to come back.
+// A request with less time left than this many waits is rejected at once.
 constexpr int min_waits_left = 3;
 
 } // namespace
@@ -28,7 +28,8 @@
             m_request.head.method, m_request.head.target, m_request.body};
 }
 
-// Step 1: most requests are alike to none that is known, which is cheap to see.
+// Step 1: looks the request up among the suspected ones. The shape, which is
+// cheap to compute, rules out most requests before the fingerprint is computed.
 void request_flow::identify_suspect()
 {
     if (m_suspect || m_state.poison.size() == 0)
@@ -47,7 +48,9 @@
     }
 }
 
-// Whether it has ended several servers and another one is on its way.
+// Whether the request must not be sent now: other hosts' reports of its last
+// crash are outstanding, or the evidence allows one attempt at a time and one
+// is in flight.
 bool request_flow::must_wait(const request_print& print) const
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
@@ -57,8 +60,8 @@
            (!is_only_attempt && m_state.poison.goes_alone(print, servers, now));
 }
 
-// What other hosts saw of its last end is there in a moment: most that wait for
-// it are innocent, and a refusal would cost them a second.
+// Waits briefly for other hosts' reports of the request's last crash. Most
+// requests that wait here are innocent, and a rejection costs them a second.
 awaitable<void> request_flow::wait_for_peer_reports()
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
@@ -74,9 +77,9 @@
     co_await timer.async_wait(use_result);
 }
 
-// Step 2: what is proved is refused at once, but for the one host that tries it
-// again; of what is suspected one at a time is sent.
-// @return whether the request has its final answer
+// Step 2: rejects confirmed requests at once, except where this host is the one
+// that may send it again as a probe. Suspected requests are sent one at a time.
+// @return whether the request has its final response
 awaitable<bool> request_flow::reject_if_poison()
 {
     if (!m_suspect)
@@ -86,7 +89,7 @@
     co_await wait_for_peer_reports();
     if (m_is_cancelled)
     {
-        // The attempt that follows sends nothing.
+        // A cancelled request's next attempt sends nothing.
         co_return false;
     }
     const auto now = gateway_state::now();
@@ -121,7 +124,7 @@
     co_return true;
 }
 
-// Step 3: its next server is one where it harms least.
+// Step 3: lets the choice prefer upstreams where a crash does least harm.
 void request_flow::mark_suspect(choice_request& wanted)
 {
     if (m_suspect)
@@ -131,7 +134,8 @@
     }
 }
 
-// Step 4: evidence for it, or against.
+// Step 4: records the result of an attempt as evidence for or against the
+// request.
 void request_flow::record_attempt(const server_entry& server,
                                   attempt_result result,
                                   monotonic::time_point started)
@@ -154,8 +158,9 @@
     }
 }
 
-// It is evidence if the server ends; whether that shows at once, or only when
-// another request comes there, does not hang on who waits for this one.
+// Records an attempt without a response: it becomes evidence if the upstream
+// crashes. The crash can show later than this attempt, on another request to
+// the same upstream, whether or not a client still waits for this one.
 void request_flow::record_unfinished_attempt(const server_entry& server,
                                              attempt_result result,
                                              monotonic::time_point started)
--- a/services/gateway/request_relay.cpp
+++ b/services/gateway/request_relay.cpp
@@ -1,4 +1,4 @@
-// How a request's flow passes a server's answer on to its client.
+// Relay of an upstream's response to the client.
 #include "request_flow.hpp"
 
 #include <algorithm>
@@ -11,9 +11,10 @@
 namespace
 {
 
-// A server that has not answered within a pause this long is passed over.
+// Longest silence within an event stream before it is resumed at another
+// upstream.
 constexpr milliseconds max_event_gap{2500};
-// A longer answer is passed on before it is whole.
+// Longer responses are streamed to the client instead of buffered.
 constexpr std::size_t max_buffered_bytes = 262144;
 
 bool is_event_stream(const response_head& head)
@@ -34,7 +35,7 @@
     }
     if (m_response.has_begun())
     {
-        // A stream goes on here, and this is none.
+        // A stream is being resumed, and this response is not a stream.
         co_return attempt_result::broken;
     }
     co_return co_await relay_body(exchange);
@@ -136,7 +137,7 @@
             {
                 co_return attempt_result::late;
             }
-            // Silence alone ends nothing that cannot go on elsewhere.
+            // Silence aborts only streams that can be resumed elsewhere.
             if (m_route->is_resumable && m_attempts < m_route->max_attempts)
             {
                 co_return attempt_result::broken;
@@ -161,9 +162,10 @@
     }
 }
 
-// Passes on the whole events that have come.
-// @param is_sound set to false if they are not what must come next
-// @return whether the client takes them
+// Forwards the complete events received so far. Events that the client already
+// has are dropped.
+// @param is_in_order set to false if an event id does not follow the last one
+// @return whether the client accepts the bytes
 awaitable<bool> request_flow::forward_events(event_splitter& splitter,
                                              const response_head& head,
                                              bool& is_in_order)
@@ -193,7 +195,8 @@
     co_return co_await send_piece(head, bytes);
 }
 
-// Begins the answer with a piece, or goes on with it.
+// Sends a piece of the body, preceded by the head if none was sent.
+// @return whether the client accepts the bytes
 awaitable<bool> request_flow::send_piece(const response_head& head,
                                          std::string_view bytes)
 {
--- a/services/gateway/send_permit.hpp
+++ b/services/gateway/send_permit.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The right to send one request to one upstream.
+/// Permit to send one request to one upstream.
 #pragma once
 
 #include <base/identifiers.hpp>
@@ -8,8 +8,8 @@
 namespace daleshelf
 {
 
-/// Issued by `upstream_limiter` alone, and needed to begin an exchange: no
-/// request reaches an upstream uncounted.
+/// Issued only by `upstream_limiter` and required to start an exchange, so that
+/// every request is counted against the upstream's limit.
 class send_permit
 {
 public:
@@ -24,7 +24,7 @@
 
     explicit send_permit(upstream_id counted) : m_counted(std::move(counted)) {}
 
-    upstream_id m_counted; ///< empty: the upstream has no limit
+    upstream_id m_counted; ///< empty if the upstream has no limit
 };
 
 } // namespace daleshelf
--- a/services/gateway/server_connection.cpp
+++ b/services/gateway/server_connection.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-// A request may meet the server's own close if it comes this late.
+// A request sent this close to the upstream's idle limit can race its close.
 constexpr milliseconds idle_close_margin{900};
 constexpr milliseconds default_idle_limit{4000};
-// Requests that may run only once take younger connections.
+// Requests that are not repeatable only use connections idle for less.
 constexpr milliseconds unrepeatable_idle_limit{1500};
 
 void set_integer_option(asio::ip::tcp::socket& socket, int level, int name,
@@ -49,7 +49,7 @@
         const bool is_usable = newest->channel->is_idle();
         if (is_usable && age > usable_idle_time(*newest, is_repeatable))
         {
-            // The others are older still.
+            // The others have been idle for longer still.
             return nullptr;
         }
         auto taken = std::move(newest);
--- a/services/gateway/server_connection.hpp
+++ b/services/gateway/server_connection.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Kept connections to servers.
+/// Connection pool for upstreams.
 #pragma once
 
 #include "byte_channel.hpp"
@@ -15,16 +15,16 @@
 namespace daleshelf
 {
 
-/// One connection to one server.
+/// A connection to an upstream.
 struct server_connection
 {
     std::shared_ptr<byte_channel> channel;
     upstream_id server;
     monotonic::time_point idle_since{};
-    milliseconds idle_limit{0}; ///< as the server states it
+    milliseconds idle_limit{0}; ///< as stated by the upstream; 0: not stated
 };
 
-/// Keeps idle connections to servers for the next request.
+/// Pools idle connections to upstreams for reuse.
 class connection_pool
 {
 public:
@@ -33,30 +33,32 @@
 
     explicit connection_pool(asio::io_context& context) : m_context(context) {}
 
-    /// Sets who hears that a server refuses a connection, or has ended one
-    /// that was kept.
+    /// Sets the listener called when an upstream refuses a connection or closes
+    /// an idle pooled one.
     void set_failure_listener(failure_listener listener)
     {
         m_failure_listener = std::move(listener);
     }
 
-    /// @param is_repeatable whether the request may be sent again if the
-    /// server closes the connection just as the request leaves
-    /// @return an idle connection, or null
+    /// Takes an idle connection from the pool.
+    /// @param is_repeatable whether the request can be sent again if the
+    /// upstream closes the connection while the request is on its way
+    /// @return the connection, or null if none is usable
     [[nodiscard]] std::unique_ptr<server_connection>
     take(const upstream_id& server, bool is_repeatable);
 
-    /// @return a new connection, or null if there is none before the deadline
+    /// Opens a new connection.
+    /// @return the connection, or null if it failed or the deadline passed
     awaitable<std::unique_ptr<server_connection>>
     connect(const server_entry& server, monotonic::time_point deadline);
 
-    /// Keeps a connection on which an answer has ended in order.
+    /// Returns a connection to the pool after a complete response.
     void keep(std::unique_ptr<server_connection> connection);
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections whose idle limit has expired.
     void sweep(monotonic::time_point now);
 
-    /// Closes idle connections to a server that has left.
+    /// Closes the idle connections to an upstream that has left.
     void drop(const upstream_id& server);
 
     [[nodiscard]] std::int64_t connections_made() const
@@ -76,24 +78,25 @@
 };
 
 /// @param text IP:PORT
-/// @return the endpoint, or nothing if the text is none
+/// @return the endpoint, or nothing if the text is invalid
 [[nodiscard]] std::optional<asio::ip::tcp::endpoint>
 parse_endpoint(const std::string& text);
 
-/// How opening a connection has ended.
+/// Result of opening a connection.
 struct connect_result
 {
-    std::shared_ptr<byte_channel> channel; ///< null: there is none
-    bool is_refused = false;               ///< nobody listens there
+    std::shared_ptr<byte_channel> channel; ///< null if the connect failed
+    bool is_refused = false;               ///< the port refuses connections
 };
 
-/// Opens a connection that is always read.
+/// Opens a connection, and starts the channel that reads it.
 awaitable<connect_result> connect_channel(asio::io_context& context,
                                           asio::ip::tcp::endpoint endpoint,
                                           monotonic::time_point deadline);
 
-/// Makes a connection fail within about a second when its peer is silent: a
-/// host without power, or behind a cut, answers nothing.
+/// Sets keep-alive and timeout options so that a connection fails within about
+/// a second when its peer stops acknowledging, as after a power loss or behind
+/// a network cut.
 void detect_silent_peer(asio::ip::tcp::socket& socket);
 
 } // namespace daleshelf
--- a/services/gateway/server_exchange.cpp
+++ b/services/gateway/server_exchange.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t max_head_bytes = 65536;
 constexpr milliseconds connect_timeout{350};
-// A server that does not read may have begun to leave when it does.
+// An upstream that reads later than this may be draining by then.
 constexpr milliseconds send_timeout{1500};
 
 } // namespace
@@ -68,7 +68,7 @@
             const auto& channel = *m_connection->channel;
             if (channel.connection_state() == channel_state::finished)
             {
-                // What is left of the input is no whole chunk.
+                // The remaining input is an incomplete chunk.
                 m_parser->feed_end();
                 release();
                 co_return exchange_state::complete;
@@ -122,7 +122,7 @@
     {
         m_verdict = verdict::may_have_run;
     }
-    // A server may have answered, and closed, before all was sent.
+    // An upstream can respond and close before the request is fully sent.
     co_return result.is_complete || !m_connection->channel->input().empty();
 }
 
@@ -169,8 +169,8 @@
     }
 }
 
-// Feeds what has come to the parser.
-// @return whether the head of this request's answer is there
+// Feeds the received bytes to the parser.
+// @return whether the head of the response to this request is available
 bool server_exchange::parse_input()
 {
     auto& channel = *m_connection->channel;
@@ -189,7 +189,7 @@
         {
             return true;
         }
-        // 1. A new head: whose is it?
+        // 1. A new head: check which request it responds to.
         if (!m_is_unrelated)
         {
             m_head = m_parser->take_head();
@@ -204,7 +204,7 @@
         {
             return true;
         }
-        // 2. Another request's answer: skip it whole.
+        // 2. A response to another request, or an informational one: skip it.
         (void)m_parser->take_body();
         if (!m_parser->is_complete())
         {
@@ -215,7 +215,8 @@
     }
 }
 
-// An answer to an earlier request may be older than the limit that is known.
+// Merges the notice of one more response. A response to an earlier request can
+// predate the known limit, so it does not end the limit.
 void server_exchange::merge_notice(const platform::server_notice& notice,
                                    bool is_unrelated)
 {
@@ -240,7 +241,8 @@
     return exchange_state::failed;
 }
 
-// The answer has ended in order: keeps the connection if that is sound.
+// Handles the complete response: returns the connection to the pool if it can
+// be reused.
 void server_exchange::release()
 {
     const bool is_reusable = m_is_framed &&
--- a/services/gateway/server_exchange.hpp
+++ b/services/gateway/server_exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One attempt of a request at one server.
+/// One attempt of a request at one upstream.
 #pragma once
 
 #include "send_permit.hpp"
@@ -14,7 +14,7 @@
 namespace daleshelf
 {
 
-/// What is sent to a server.
+/// A request as it is sent to an upstream.
 struct server_request
 {
     server_request(send_permit issued_permit, server_entry target)
@@ -24,25 +24,25 @@
 
     send_permit permit;
     server_entry server;
-    std::string id;    ///< as the client gave it
+    std::string id;    ///< as given by the client
     std::string bytes; ///< head and body
     bool is_repeatable = false;
     bool has_no_response_body = false; ///< a HEAD request
     monotonic::time_point deadline{};
 };
 
-/// How an exchange has gone so far.
+/// Progress of an exchange.
 enum class exchange_state
 {
-    head,      ///< the answer's head is there
-    piece,     ///< bytes of its body are there
-    complete,  ///< its body has ended in order
-    failed,    ///< nothing more comes; `verdict` tells what is known
+    head,      ///< the response head is available
+    piece,     ///< a piece of the body is available
+    complete,  ///< the response is complete
+    failed,    ///< the exchange failed; see `known_verdict`
     timed_out, ///< the deadline has passed
 };
 
-/// Sends one request to one server and reads its answer. Answers that belong
-/// to other requests are skipped: they may come late on a kept connection.
+/// Sends one request to one upstream and reads its response. Responses to other
+/// requests, which can arrive late on a reused connection, are skipped.
 class server_exchange
 {
 public:
@@ -51,14 +51,14 @@
     server_exchange& operator=(const server_exchange&) = delete;
     ~server_exchange();
 
-    /// Sends the request and waits for the head of its answer.
+    /// Sends the request and waits for the head of its response.
     awaitable<exchange_state> start();
 
     /// Waits for the next piece of the body.
-    /// @param until waits no longer than this; `late` is returned then
+    /// @param until when the wait ends with `timed_out`
     awaitable<exchange_state> read_piece(monotonic::time_point until);
 
-    /// @return the piece that `read_piece` has found
+    /// @return the piece found by `read_piece`
     [[nodiscard]] std::string take_piece()
     {
         return std::exchange(m_piece, {});
@@ -69,32 +69,33 @@
         return m_head;
     }
 
-    /// @return what all answers that came have said of the server, also those
-    /// to other requests
+    /// @return the upstream's notices about itself from all responses received,
+    /// including those to other requests
     [[nodiscard]] const platform::server_notice& notice() const
     {
         return m_notice;
     }
 
-    /// @return the permit, to be returned if nothing was sent
+    /// @return the permit, to be refunded if nothing was sent
     [[nodiscard]] send_permit take_permit()
     {
         return std::move(m_request.permit);
     }
 
-    /// @return whether the body is sent with a length or in chunks
+    /// @return whether the body has a length or is chunked
     [[nodiscard]] bool is_framed() const
     {
         return m_is_framed;
     }
 
-    /// @return what is known of the request's execution if it has failed
+    /// @return what is known about the request's execution if the exchange
+    /// failed
     [[nodiscard]] verdict known_verdict() const
     {
         return m_verdict;
     }
 
-    /// Ends the exchange at once; the server drops the request.
+    /// Resets the connection at once, so that the upstream drops the request.
     void cancel();
 
 private:
@@ -117,7 +118,7 @@
     verdict m_verdict = verdict::not_run;
     bool m_is_framed = false;
     bool m_is_cancelled = false;
-    bool m_is_unrelated = false; ///< the answer being read is another request's
+    bool m_is_unrelated = false; ///< the response being read is skipped
 };
 
 } // namespace daleshelf
--- a/services/gateway/server_notices.hpp
+++ b/services/gateway/server_notices.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What servers say of themselves in their answers, and what follows from it.
+/// Handling of the notices about themselves that upstreams send in responses.
 #pragma once
 
 #include "gateway_state.hpp"
@@ -9,11 +9,10 @@
 namespace daleshelf
 {
 
-/// Sends nothing more to a server that has said that it leaves, nothing to one
-/// that wants rest until that is over, and no more than its limit to one that
-/// names it.
-/// @param server as it was known when the request was sent to it
-/// @param sent_at when that was, monotonic
+/// Applies an upstream's notice: no more requests if it is draining, none until
+/// its Retry-After has passed, and no more than the rate limit that it names.
+/// @param server as known when the request was sent
+/// @param sent_at when the request was sent, monotonic
 void apply_notice(gateway_state& state, const server_entry& server,
                   const platform::server_notice& notice, absl::Time sent_at);
 
--- a/services/gateway/simple_http_server.cpp
+++ b/services/gateway/simple_http_server.cpp
@@ -25,7 +25,7 @@
     const auto endpoint = parse_endpoint(address);
     if (!endpoint)
     {
-        throw std::invalid_argument(address + " is no IP:PORT");
+        throw std::invalid_argument(address + " is not IP:PORT");
     }
     return asio::ip::tcp::acceptor(context, *endpoint);
 }
--- a/services/gateway/simple_http_server.hpp
+++ b/services/gateway/simple_http_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Answers short questions: readiness, metrics, records for peers.
+/// HTTP server for internal endpoints: readiness, metrics, records for peers.
 #pragma once
 
 #include "byte_channel.hpp"
@@ -10,7 +10,7 @@
 namespace daleshelf
 {
 
-/// Answer to a short question.
+/// Response of an internal endpoint.
 struct simple_response
 {
     int status = 0;
@@ -19,11 +19,12 @@
 };
 
 /// Opens an acceptor on an address.
+/// @throws std::invalid_argument if the address is not IP:PORT
 /// @throws boost::system::system_error if the address cannot be used
 [[nodiscard]] asio::ip::tcp::acceptor open_acceptor(asio::io_context& context,
                                                     const std::string& address);
 
-/// Serves GET requests by a function of their target.
+/// Serves requests with a handler that maps their target to a response.
 class simple_http_server
 {
 public:
@@ -33,7 +34,7 @@
     simple_http_server(asio::io_context& context, const std::string& address,
                        handler handle_request);
 
-    /// Begins to accept connections.
+    /// Starts accepting connections.
     void start();
 
 private:
--- a/services/gateway/upstream_limiter.hpp
+++ b/services/gateway/upstream_limiter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The limits that upstreams name in their answers.
+/// Rate limits that upstreams name in their responses.
 #pragma once
 
 #include "asio.hpp"
@@ -20,15 +20,15 @@
 
 struct gateway_state;
 
-/// Keeps the fleet within the limits that upstreams have named: a request to
-/// such an upstream takes its part of the limit from the hosts that keep it,
-/// before it is sent. See docs/design/upstream-limits.md.
+/// Keeps the fleet within the rate limits that upstreams name: before a request
+/// is sent to such an upstream, it takes its share of the limit from the shared
+/// quota. See docs/design/upstream-limits.md.
 class upstream_limiter
 {
 public:
     explicit upstream_limiter(gateway_state& state) : m_state(state) {}
 
-    /// Notes what an answer says of its upstream's limit.
+    /// Records what a response says about its upstream's limit.
     /// @param sent_at when the request was sent, monotonic
     void record_answer(const server_entry& server,
                        const platform::server_notice& notice,
@@ -39,21 +39,21 @@
     [[nodiscard]] std::optional<double>
     limit_of(const upstream_life& server) const;
 
-    /// Takes a request from an upstream's limit.
-    /// @return nothing if there is none left; the upstream is then passed over
-    /// for a while
+    /// Takes one request out of an upstream's limit.
+    /// @return nothing if the limit is used up; the upstream is then passed
+    /// over for a while
     awaitable<std::optional<send_permit>> acquire(server_entry server);
 
-    /// Gives back the permit of a request of which nothing was sent.
+    /// Refunds the permit of a request of which nothing was sent.
     void refund(send_permit permit);
 
-    /// Reserves the time at which a rejected request may be tried again: those
-    /// that come back are spread over what the service's limits allow.
-    /// @return the time from now on
+    /// Reserves the time at which the client of a rejected request can retry:
+    /// retries are spread over the rate that the service's limits allow.
+    /// @return the time until the retry
     [[nodiscard]] absl::Duration reserve_retry(const service_name& service);
 
-    /// Logs what has happened since the last call, and forgets upstreams that
-    /// are gone; to be called about twice a second.
+    /// Logs the upstreams passed over since the last call, and evicts the
+    /// limits of upstreams that are gone. Called about twice a second.
     void run_maintenance();
 
 private:
@@ -62,15 +62,15 @@
     void log_unreadable(const server_entry& server);
 
     gateway_state& m_state;
-    /// Upstreams whose limit could not be read, and which start of them.
+    /// Incarnations whose unreadable limit was logged.
     absl::flat_hash_map<upstream_id, upstream_birth> m_unreadable;
     absl::flat_hash_map<service_name, return_schedule> m_retries;
-    /// Passed over since the last log line.
+    /// Upstreams passed over since the last log line.
     name_batch m_passed_over{max_named};
 };
 
-/// Logs that an upstream has named another limit, and lets the changed limit
-/// take effect in the choice of a server.
+/// Logs the change of an upstream's limit, and makes the upstream eligible
+/// again.
 void apply_limit_change(gateway_state& state, const limit_update& update);
 
 } // namespace daleshelf
