--- a/tests/gateway/byte_channel_test.cpp
+++ b/tests/gateway/byte_channel_test.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// Both ends of a connection, on one event loop that runs by hand.
+// Both sides of a connection, on one manually run event loop.
 class byte_channel_test : public testing::Test
 {
 protected:
@@ -26,8 +26,8 @@
         m_context.poll();
     }
 
-    // Starts the channel and closes it after `steps` of the loop.
-    // @return the input at that moment
+    // Starts the channel and closes it after `steps` steps of the event loop.
+    // @return the input at the time of the close
     std::string close_after(int steps)
     {
         auto input = std::make_shared<std::string>();
@@ -65,7 +65,7 @@
     EXPECT_EQ(m_channel->input(), "abc");
 }
 
-// The peer never reads; without a limit the write would never end.
+// The peer never reads: without a deadline the write would block for ever.
 TEST_F(byte_channel_test, a_blocked_write_is_aborted_at_its_deadline)
 {
     const std::string bytes(std::size_t{64} << 20, 'a');
@@ -87,8 +87,8 @@
     EXPECT_EQ(m_channel->connection_state(), channel_state::broken);
 }
 
-// Bytes that are there before the channel starts are taken from the socket one
-// step before the channel is told: which step that is, is the loop's affair.
+// Bytes are read from the socket one step of the event loop before the read
+// completes. Which step that is depends on the loop, so several are tested.
 class closing_channel_test : public byte_channel_test,
                              public testing::WithParamInterface<int>
 {
--- a/tests/gateway/crash_detector_test.cpp
+++ b/tests/gateway/crash_detector_test.cpp
@@ -1,9 +1,9 @@
-// A request that ends servers was sent on and on: its callers had left, 20 to
-// 55 ms after they had asked, before the server under it ended. Seven servers
-// ended; the hosts noted three ends, and of the other four nothing (no
-// `upstream_failed`, no `upstream_ended`, only `request_ended
-// outcome=client_left`): only an attempt that broke was evidence, and one whose
-// caller leaves is closed by the host itself before its server ends.
+// Guards against a query of death that stays undetected because its clients
+// disconnect before the upstream crashes. The gateway closes such an attempt
+// itself, so that its connection does not break (no `upstream_failed`, no
+// `upstream_ended`, only `request_ended outcome=client_left`). Such requests,
+// left after 20 to 55 ms, crashed seven upstreams, of which the hosts recorded
+// three.
 #include "gateway_fixture.hpp"
 
 #include <base/text.hpp>
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// Takes requests that it never answers, and says what becomes of the first.
+/// Never responds, and reports when the first request is read and aborted.
 class silent_server
 {
 public:
@@ -56,7 +56,7 @@
     std::atomic<bool> m_has_request = false;
     std::promise<void> m_read;
     std::promise<void> m_disconnected;
-    scripted_server m_server; // ends first: its threads use the others
+    scripted_server m_server; // destroyed first: its threads use the others
 };
 
 class crash_detector : public gateway_fixture
@@ -83,7 +83,7 @@
         return is_known;
     }
 
-    /// Asks, and leaves once the server has read the request.
+    /// Sends a request, and disconnects once the upstream has read it.
     void request_and_disconnect(const std::string& path, silent_server& server)
     {
         const auto client = connect();
@@ -121,8 +121,8 @@
     EXPECT_TRUE(is_suspected("/unsafe/deadly"));
 }
 
-// Nobody else asks for anything there: what shows the end is a connection that
-// is kept for the next request.
+// Without further requests to the upstream, only the close of an idle pooled
+// connection reveals the crash.
 TEST_F(crash_detector, a_closed_idle_connection_reveals_the_crash)
 {
     std::promise<void> read;
@@ -152,11 +152,12 @@
     while (!is_suspected("/unsafe/deadly"))
     {
     }
-    EXPECT_FALSE(is_suspected("/unsafe/other")) << "it was answered";
+    EXPECT_FALSE(is_suspected("/unsafe/other")) << "it got its response";
 }
 
-// At a server that nobody else uses nothing shows the end: where a request is
-// suspected already, the host asks by itself, and sends it nowhere else before.
+// Nothing reveals the crash of an upstream without other traffic. For a request
+// that is suspected already the host probes the port, and sends it nowhere else
+// before the result.
 TEST_F(crash_detector,
        an_aborted_suspect_is_in_flight_until_its_crash_is_detected)
 {
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -155,7 +155,7 @@
     {
         return;
     }
-    // A connection of its own ends the wait for the next one.
+    // A connection to itself unblocks the pending accept.
     error_code ignored;
     asio::ip::tcp::socket last(m_context);
     last.connect(m_acceptor.local_endpoint(), ignored);
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A gateway's request path in this process, with servers that do as told.
+/// Fixture that runs a gateway's request path in-process with scripted
+/// upstreams.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
 namespace daleshelf
 {
 
-/// A blocking connection of the test's own.
+/// A blocking connection used by tests.
 class test_connection
 {
 public:
@@ -26,35 +27,35 @@
     test_connection(const test_connection&) = delete;
     test_connection& operator=(const test_connection&) = delete;
 
-    /// Sends bytes; errors are left to `read_...` to show.
+    /// Sends bytes. Errors are ignored here and show when reading.
     void send(const std::string& bytes);
 
-    /// Reads a head and a body of the stated length.
-    /// @return the bytes, or what came before the connection ended
+    /// Reads a head, and a body of the length that the head states.
+    /// @return the bytes, or what was received before the connection closed
     std::string read_message();
 
-    /// Reads until the connection ends.
+    /// Reads until the connection closes.
     std::string read_all();
 
-    /// @return whether the other side has reset the connection
+    /// @return whether the peer has reset the connection
     [[nodiscard]] bool was_reset() const
     {
         return m_was_reset;
     }
 
-    /// Sets what counts the whole messages that are read.
+    /// Sets the counter of complete messages read.
     void set_message_counter(std::atomic<int>& counter)
     {
         m_message_counter = &counter;
     }
 
-    /// Ends the connection in order.
+    /// Closes the connection in order.
     void close();
 
-    /// Ends every wait for input; for another thread.
+    /// Unblocks pending reads; can be called from another thread.
     void stop_reading();
 
-    /// Ends the connection by a reset.
+    /// Resets the connection.
     void reset();
 
 private:
@@ -66,7 +67,7 @@
     std::atomic<int>* m_message_counter = nullptr;
 };
 
-/// A server: each connection is served by a function on its own thread.
+/// An upstream that serves each connection by a function on its own thread.
 class scripted_server
 {
 public:
@@ -77,7 +78,7 @@
     scripted_server(const scripted_server&) = delete;
     scripted_server& operator=(const scripted_server&) = delete;
 
-    /// Ends as a process does: its connections end, its port refuses others.
+    /// Simulates a crash: closes all connections and refuses new ones.
     void crash();
 
     [[nodiscard]] std::string address() const
@@ -85,13 +86,13 @@
         return m_address;
     }
 
-    /// @return connections taken so far
+    /// @return the number of connections accepted so far
     [[nodiscard]] int connections() const
     {
         return m_connection_count;
     }
 
-    /// @return requests read so far; a connection may bring none
+    /// @return the number of requests read so far; a connection can carry none
     [[nodiscard]] int requests() const
     {
         return m_request_count;
@@ -113,33 +114,33 @@
     std::thread m_acceptor_thread;
 };
 
-/// The request path on a thread of its own.
+/// Runs the request path on its own thread.
 class gateway_fixture : public testing::Test
 {
 protected:
     gateway_fixture();
     ~gateway_fixture() override;
 
-    /// Declares the routes `/safe/`, `/unsafe/`, `/stream/`, `/fixed/` (a
+    /// Configures the routes `/safe/`, `/unsafe/`, `/stream/` and `/fixed/` (a
     /// stream that cannot be resumed) of one service.
     void configure();
 
-    /// Makes the service one of engines.
+    /// Makes the service's upstreams engines.
     void make_engines();
 
-    /// Adds the route `/own/`, of one tenant with a limit in requests.
+    /// Adds the route `/own/` of a workspace with a request quota.
     void limit_tenant(const tenant_limit& limit);
 
-    /// Lists a server.
+    /// Adds an upstream to the list.
     void add_server(const std::string& id, const scripted_server& server);
 
-    /// Runs a function on the gateway's thread and waits for it.
+    /// Runs a function on the gateway's thread and waits until it returns.
     void on_loop(const std::function<void()>& run);
 
-    /// @return a new connection of a client
+    /// @return a new client connection
     std::unique_ptr<test_connection> connect();
 
-    /// Sends one request and reads the whole answer.
+    /// Sends one request and reads the complete response.
     std::string fetch(const std::string& path, const std::string& id = "1");
 
     static std::string request_for(const std::string& path,
@@ -155,21 +156,21 @@
     std::thread m_thread;
 };
 
-/// @return a whole answer with a length, a signature and the request's id
+/// @return a response with a length, a signature and the request's id
 std::string make_response(const std::string& id, const std::string& body,
                           int status = 200);
 
-/// @return the head of a stream in chunks
+/// @return the head of a chunked event stream
 std::string stream_head(const std::string& id,
                         const std::string& signature = "seal");
 
 /// @return one event as a chunk
 std::string event_chunk(int id, const std::string& data);
 
-/// Ends a body in chunks.
+/// Last chunk of a chunked body.
 inline const std::string last_chunk = "0\r\n\r\n";
 
-/// @return the id that a request carries
+/// @return the id in a request's head
 std::string id_of(const std::string& request);
 
 } // namespace daleshelf
--- a/tests/gateway/http_call_test.cpp
+++ b/tests/gateway/http_call_test.cpp
@@ -10,8 +10,10 @@
 
 using http_call = gateway_fixture;
 
-// A call that a cut held up came two seconds after its lease had lapsed and
-// another machine had called with a higher token (docs/findings).
+// Guards against a call delivered after its sender has aborted it: a call
+// delayed by a network cut arrived two seconds after its lease had expired,
+// when another host had already called with a higher fencing token
+// (docs/findings).
 TEST_F(http_call, an_aborted_call_resets_its_connection)
 {
     std::promise<bool> is_reset;
--- a/tests/gateway/poison_path_test.cpp
+++ b/tests/gateway/poison_path_test.cpp
@@ -1,6 +1,7 @@
-// One content, sent again and again by its callers, ended 21 servers within 9
-// s: each try of it went to the next server, and what else ran there was broken
-// off with it (`upstream_failed end=broken` of 4 to 11 requests at each end).
+// Guards against a query of death that crashes one upstream after the other:
+// its clients send it again, and each attempt goes to the next upstream. One
+// such request crashed 21 upstreams within 9 s; each crash broke 4 to 11
+// further requests (`upstream_failed end=broken`).
 #include "gateway_fixture.hpp"
 
 #include <base/text.hpp>
@@ -10,7 +11,7 @@
 namespace
 {
 
-/// A server that ends when it has read a request.
+/// An upstream that crashes when it has read a request.
 class crashing_server
 {
 public:
@@ -26,7 +27,7 @@
     ~crashing_server()
     {
         {
-            // A connection of its own ends the wait for the next one.
+            // A connection to itself unblocks the pending accept.
             error_code ignored;
             asio::ip::tcp::socket last(m_context);
             last.connect(*parse_endpoint(m_address), ignored);
@@ -91,7 +92,7 @@
         on_loop([&] { m_state.servers.set(server.entry(id)); });
     }
 
-    /// Notes what another host has told: a server ended under the request a
+    /// Merges a peer's report that an upstream crashed under the request a
     /// second ago.
     void merge_peer_crash(const suspect_request& suspect)
     {
@@ -173,14 +174,14 @@
     const auto at = response.find("Retry-After: ");
     ASSERT_NE(at, std::string::npos) << response;
     EXPECT_GT(std::stod(response.substr(at + 13)), 60)
-        << "when it is tried again";
+        << "the time until the next probe";
     EXPECT_EQ(m_healthy.requests(), 0);
     on_loop([&] { m_state.servers.remove(upstream_id("a")); });
     EXPECT_TRUE(fetch("/unsafe/other").ends_with("good"));
 }
 
-// The model of the fleet holds such a request as well: rejecting it at once
-// would cost a wrongly suspected caller a back-off.
+// The fleet model holds such a request too: rejecting it at once would cost a
+// wrongly suspected client a back-off.
 TEST_F(poison_path, a_request_is_held_until_its_last_crash_is_settled)
 {
     const request_content content{{}, "h", "GET", "/unsafe/popular", ""};
@@ -206,7 +207,7 @@
                                   { connection.read_message(); });
     add_server("a", closing);
     fetch("/unsafe/x");
-    // The check comes as a connection of its own.
+    // The port probe arrives as a separate connection.
     while (closing.connections() < 2)
     {
     }
--- a/tests/gateway/policy_test.cpp
+++ b/tests/gateway/policy_test.cpp
@@ -1,4 +1,4 @@
-// What each switch of the policy turns off on the request path is off.
+// Each policy setting disables its part of the request path.
 #include "gateway_fixture.hpp"
 
 namespace daleshelf
@@ -23,7 +23,7 @@
     };
 }
 
-/// Answers every request on a connection with a stream of three events.
+/// Responds to every request on a connection with a stream of three events.
 scripted_server::script respond_with_stream()
 {
     return [](test_connection& connection)
@@ -37,8 +37,8 @@
     };
 }
 
-// A hundred answers are before it: with one place and 2 s an answer its first
-// event would come long after the five seconds that it has.
+// A hundred requests are queued: with one slot and 2 s per response, the first
+// event would miss the deadline of 5 s by far.
 TEST_F(policy, a_prompt_that_would_be_too_late_is_refused_at_once)
 {
     configure();
@@ -55,7 +55,7 @@
     EXPECT_TRUE(contains(response, "HTTP/1.1 503 ")) << response;
     EXPECT_TRUE(contains(response, "Retry-After: ")) << response;
     EXPECT_EQ(server.connections(), 0);
-    // Switched off, it is tried.
+    // Disabled by the setting, the request is sent.
     on_loop([&] { m_state.settings.refuses_hopeless = false; });
     EXPECT_TRUE(fetch("/stream/x").ends_with("body"));
 }
--- a/tests/gateway/request_path_test.cpp
+++ b/tests/gateway/request_path_test.cpp
@@ -13,7 +13,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/// Answers every request on a connection with the same body.
+/// Responds to every request on a connection with the same body.
 scripted_server::script respond_with(const std::string& body, int status = 200)
 {
     return [=](test_connection& connection)
@@ -40,7 +40,7 @@
     };
 }
 
-/// Remembers the requests that come.
+/// Records requests.
 class recorder
 {
 public:
@@ -222,8 +222,8 @@
     EXPECT_EQ(server.connections(), 1);
 }
 
-// A connection that ended in order within a chunk left bytes that no parse
-// took; the process stood still on them (docs/findings).
+// Guards against an endless loop: when a connection is closed in order within a
+// chunk, the parser never consumes the remaining bytes (docs/findings).
 TEST_F(request_path, a_response_cut_off_within_a_chunk_is_incomplete)
 {
     configure();
@@ -233,7 +233,7 @@
     add_server("a", server);
     EXPECT_TRUE(contains(fetch("/unsafe/x"), "HTTP/1.1 502 "));
     EXPECT_TRUE(contains(fetch("/other/x"), "HTTP/1.1 404 "))
-        << "it still answers";
+        << "the gateway still responds";
 }
 
 TEST_F(request_path, an_answer_without_length_that_is_reset_is_not_whole)
@@ -289,12 +289,13 @@
         [&](test_connection& connection)
         {
             const auto request = connection.read_message();
-            // Sent before the client is let go: a send that meets the reset
-            // takes its error, and what is read then looks closed in order.
+            // Sent before the client disconnects: a send that meets the reset
+            // consumes its error, and the next read looks like an orderly
+            // close.
             connection.send(stream_head("1") + event_chunk(1, "a"));
             started.add(request);
             connection.read_all();
-            // A reset drops bytes that a cut would hold up and deliver late.
+            // A reset drops bytes that a network cut would delay.
             closed.add(connection.was_reset() ? "reset" : "closed");
         });
     add_server("a", server);
@@ -364,7 +365,7 @@
     client->send(request_for("/fixed/x"));
     const auto response = client->read_all();
     EXPECT_TRUE(contains(response, "data: a")) << response;
-    EXPECT_FALSE(response.ends_with(last_chunk)) << "it must not look whole";
+    EXPECT_FALSE(response.ends_with(last_chunk)) << "it must not look complete";
     EXPECT_EQ(one.requests() + two.requests(), 1);
 }
 
--- a/tests/gateway/server_limit_test.cpp
+++ b/tests/gateway/server_limit_test.cpp
@@ -1,4 +1,4 @@
-// Guards against a server that names a limit of requests a second getting more.
+// Guards against sending an upstream more requests per second than it names.
 #include "gateway_fixture.hpp"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Answers well, names its limit, and notes when requests arrive.
+/// Responds with a rate limit, and records when requests arrive.
 class limited_server
 {
 public:
@@ -26,7 +26,7 @@
         return m_server;
     }
 
-    /// Sets the field's value from now on; empty: no field.
+    /// Sets the value of the limit field; if empty, responses have no field.
     void set_limit(std::string limit)
     {
         const std::lock_guard guard(m_mutex);
@@ -39,7 +39,7 @@
         return m_arrivals.size();
     }
 
-    /// @return the most requests that have arrived within any such time
+    /// @return the highest number of requests within any window of this length
     [[nodiscard]] std::size_t max_within(std::chrono::seconds window) const
     {
         const std::lock_guard guard(m_mutex);
@@ -87,7 +87,7 @@
 
 constexpr std::chrono::seconds window{4};
 
-/// @return the most requests that a server may get within the window
+/// @return the highest number of requests allowed within the window
 std::size_t max_allowed(double limit)
 {
     constexpr double factor = 1.5;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Lets this host be the whole fleet for a while.
+    /// Lets this host earn quota as if it were the whole fleet.
     void earn_quota()
     {
         on_loop(
@@ -214,7 +214,7 @@
     const auto at = response.find("Retry-After: ");
     ASSERT_NE(at, std::string::npos) << response;
     EXPECT_GT(std::stod(response.substr(at + 13)), 1.0)
-        << "the server takes one each two seconds";
+        << "the limit is one request in two seconds";
 }
 
 TEST_F(server_limit, a_limit_from_a_peer_applies_before_the_first_response)
--- a/tests/gateway/server_notices_test.cpp
+++ b/tests/gateway/server_notices_test.cpp
@@ -1,8 +1,8 @@
-// While the store gave a host no answer, a server said in each of its answers
-// that it was leaving, and the host went on sending it first tries, the last
-// one 2.9 s after the first such answer. Only the list of servers was asked who
-// leaves (`wait_given_up topic=keyed.servers waited_ms=1500`, four times in a
-// row), and nobody read what an answer said of its server.
+// Guards against requests to a draining upstream while the store is
+// unreachable. The list of upstreams is then stale (`wait_given_up
+// topic=keyed.servers waited_ms=1500`), and only the notice in the upstream's
+// own responses shows that it drains. Hosts that ignored it sent first attempts
+// for another 2.9 s.
 #include "gateway_fixture.hpp"
 
 #include <base/text.hpp>
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Answers each request well, with fields that speak of the server.
+/// Responds to each request with additional header fields.
 scripted_server::script respond_with(const std::string& fields,
                                      const std::string& body, int status = 200)
 {
@@ -40,9 +40,9 @@
         configure();
     }
 
-    /// Asks until the server that answers with this body has done so.
-    /// @return whether it has within a number of requests that any choice
-    /// among equals reaches it
+    /// Sends requests until the upstream with this body has responded.
+    /// @return whether it did within a number of requests that reaches every
+    /// upstream if they are chosen evenly
     bool fetch_until(const std::string& body)
     {
         constexpr int max_requests = 200;
@@ -56,7 +56,7 @@
         return false;
     }
 
-    /// @return how many of some further requests the server has answered
+    /// @return how many of 50 further requests the upstream has responded to
     int count_responses(const std::string& body)
     {
         constexpr int request_count = 50;
@@ -116,7 +116,7 @@
     EXPECT_FALSE(response.ends_with(last_chunk)) << response;
 }
 
-// The head tells it: a stream may go on for many seconds.
+// The notice is in the head, and a stream can stay open for many seconds.
 TEST_F(server_notices, a_notice_in_the_head_of_an_open_stream_applies_at_once)
 {
     std::atomic<int> attempts = 0;
--- a/tests/gateway/server_rest_test.cpp
+++ b/tests/gateway/server_rest_test.cpp
@@ -1,8 +1,8 @@
-// Two servers turned every request away with 503 and asked for 3 s of rest. A
-// host sent one of them 6 further requests within that time (`upstream_failed
-// end=not_run` at 6.25, 7.44, 7.55, 7.67, 8.23, 8.34 and 8.67 s), and within 6
-// s the fleet refused 107 requests as `servers_full`: a refusal made a server
-// be passed over for 100 ms, and nobody read for how long it had asked.
+// Guards against ignoring Retry-After: an upstream that rejects a request was
+// passed over for 100 ms only, whatever time it named. With two upstreams that
+// rejected everything and named 3 s, a host sent one of them 6 further requests
+// within that time (`upstream_failed end=not_run`), and the fleet rejected 107
+// requests as `servers_full` within 6 s.
 #include "gateway_fixture.hpp"
 
 #include <base/text.hpp>
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Turns requests away, and counts them.
+/// Rejects all requests with a Retry-After, and counts them.
 class rejecting_server
 {
 public:
@@ -90,7 +90,7 @@
         fetch("/unsafe/x");
     }
     ASSERT_EQ(rejecting.request_count(), 1);
-    // Longer than a refusal alone makes a server be passed over.
+    // Longer than an upstream is passed over for a rejection without a time.
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     for (int index = 0; index < max_requests; ++index)
     {
@@ -130,7 +130,7 @@
     const rejecting_server shorter("3");
     add_server("a", longer.server());
     add_server("c", shorter.server());
-    // The first tries both: neither has run it.
+    // The first request is sent to both: neither has run it.
     fetch("/unsafe/x");
     const auto response = fetch("/unsafe/x");
     EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
@@ -138,7 +138,7 @@
     ASSERT_NE(at, std::string::npos) << response;
     const auto seconds = std::stod(response.substr(at + 13));
     EXPECT_LE(seconds, 3.0);
-    EXPECT_GT(seconds, 0.25) << "less than the time to rest, and no flat time";
+    EXPECT_GT(seconds, 0.25) << "the remaining back-off, not a fixed time";
     EXPECT_EQ(longer.request_count() + shorter.request_count(), 2);
 }
 
