--- a/benchmarks/limit_benchmark.cpp
+++ b/benchmarks/limit_benchmark.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// What limits of upstreams cost a request, and a host that learns of them.
+/// Cost of upstream limits for a request and for a host that receives gossiped
+/// limits.
 #include <benchmark/benchmark.h>
 #include <quotas/shared_quota.hpp>
 #include <upstream_limits/limit_message.hpp>
@@ -16,18 +17,18 @@
     return absl::UnixEpoch() + absl::Hours(1) + absl::Seconds(seconds);
 }
 
-upstream_life upstream(int number)
+upstream_incarnation upstream(int number)
 {
     return {upstream_id("i-" + std::to_string(1000000 + number)),
             upstream_birth(1)};
 }
 
-// A host that is alone, with a third of the upstreams limited.
+// A host without peers, with a limit on every third upstream.
 shared_quota quota_with_limits()
 {
     shared_quota quota(host_id("a"), hall_id("north"), incarnation(1),
                        quota_options());
-    quota.note_fleet(true, at(0));
+    quota.record_fleet_discovery(true, at(0));
     for (int number = 0; number < upstreams; number += 3)
     {
         quota.merge_limit({upstream(number), 500, at(0)}, at(0));
--- a/services/gateway/crash_detector.cpp
+++ b/services/gateway/crash_detector.cpp
@@ -83,13 +83,13 @@
                                                const suspect_request& request,
                                                absl::Time started)
 {
-    m_unfinished_attempts.note({server.id, server.born},
-                               {request, started, gateway_state::now()});
+    m_unfinished_attempts.add({server.id, server.started_at},
+                              {request, started, gateway_state::now()});
 }
 
 void crash_detector::start_probe(const server_entry& server, crash_sign sign)
 {
-    const server_life instance{server.id, server.born};
+    const server_incarnation instance{server.id, server.started_at};
     if (!is_expected_to_run(server) ||
         !m_unfinished_attempts.has(instance, gateway_state::now()))
     {
@@ -122,7 +122,7 @@
 
 awaitable<void> crash_detector::probe_port(server_entry server, crash_sign sign)
 {
-    const server_life instance{server.id, server.born};
+    const server_incarnation instance{server.id, server.started_at};
     const auto endpoint = parse_endpoint(server.address);
     if (!endpoint)
     {
@@ -164,10 +164,11 @@
     boot_timer timer(m_state.context, probe_delay);
     co_await timer.async_wait(use_result);
     co_await probe(server, crash_sign::abandoned);
-    m_state.suspects.end(request.print, server.id);
+    m_state.suspects.end(request.fingerprint, server.id);
 }
 
-void crash_detector::record_crash(const server_life& instance, crash_sign sign)
+void crash_detector::record_crash(const server_incarnation& instance,
+                                  crash_sign sign)
 {
     for (const auto& attempt :
          m_unfinished_attempts.take(instance, gateway_state::now()))
@@ -178,24 +179,24 @@
 
 // The run time counts up to the crash, since it is unknown how long an aborted
 // request ran on.
-void crash_detector::record_crash_of(const server_life& instance,
-                                     const open_attempt& attempt,
+void crash_detector::record_crash_of(const server_incarnation& instance,
+                                     const unanswered_attempt& attempt,
                                      crash_sign sign)
 {
     const auto now = gateway_state::now();
     const auto& request = attempt.request;
-    m_state.poison.note_end(request, instance, now - attempt.began, now);
+    m_state.poison.record_crash(request, instance, now - attempt.began, now);
     m_state.poison_news.notify();
-    const auto* record = m_state.poison.find(request.print);
+    const auto* record = m_state.poison.find(request.fingerprint);
     const auto servers = m_state.servers.usable(request.service).size();
     const auto ran_ms = absl::ToInt64Milliseconds(now - attempt.began);
     const auto unfinished_ms = absl::ToInt64Milliseconds(now - attempt.ended);
     log(events::upstream_ended,
         {{"server", instance.server.value()},
-         {"born", std::to_string(instance.born.value())},
+         {"born", std::to_string(instance.started_ms.value())},
          {"sign", std::string(name_of(sign))},
-         {"print", request.print.value()},
-         {"ends", std::to_string(record->ends.size())},
+         {"print", request.fingerprint.value()},
+         {"ends", std::to_string(record->crashes.size())},
          {"weight", std::to_string(m_state.poison.weight(*record, servers))},
          {"ran_ms", std::to_string(ran_ms)},
          {"open_ms", std::to_string(unfinished_ms)}});
--- a/services/gateway/crash_detector.hpp
+++ b/services/gateway/crash_detector.hpp
@@ -6,7 +6,7 @@
 
 #include <ingress/server_directory.hpp>
 #include <map>
-#include <poison/open_attempts.hpp>
+#include <poison/unanswered_attempts.hpp>
 #include <string_view>
 
 namespace daleshelf
@@ -57,20 +57,20 @@
                              const suspect_request& request);
 
     /// Records that this incarnation of an upstream has certainly crashed.
-    void record_crash(const server_life& instance, crash_sign sign);
+    void record_crash(const server_incarnation& instance, crash_sign sign);
 
 private:
     [[nodiscard]] bool is_expected_to_run(const server_entry& server) const;
     awaitable<void> probe_port(server_entry server, crash_sign sign);
     awaitable<void> probe_after_delay(server_entry server,
                                       suspect_request request);
-    void record_crash_of(const server_life& instance,
-                         const open_attempt& attempt, crash_sign sign);
+    void record_crash_of(const server_incarnation& instance,
+                         const unanswered_attempt& attempt, crash_sign sign);
 
     gateway_state& m_state;
-    open_attempts m_unfinished_attempts;
+    unanswered_attempts m_unfinished_attempts;
     /// Incarnations being probed, and whether to probe them once more.
-    std::map<server_life, bool> m_running_probes;
+    std::map<server_incarnation, bool> m_running_probes;
 };
 
 /// @return the name of the sign in the log
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -297,17 +297,18 @@
     meter.set("requests_suspected", "Requests that may end servers, known now.",
               static_cast<double>(m_state.poison.size()));
     meter.set("requests_proved", "Of these, proved ones, which are refused.",
-              static_cast<double>(m_state.poison.proved().size()));
-    meter.set("upstreams_limited", "Upstreams that name a limit now.",
-              static_cast<double>(m_state.quota.shared().limits().limited()));
+              static_cast<double>(m_state.poison.confirmed().size()));
+    meter.set(
+        "upstreams_limited", "Upstreams that name a limit now.",
+        static_cast<double>(m_state.quota.shared().limits().limited_count()));
     meter.set("machines_known", "Gateways known, with this one.",
               static_cast<double>(m_peers.table().size()));
     meter.set("machines_reached", "Gateways heard lately, with this one.",
-              static_cast<double>(m_peers.table().reached(now)));
+              static_cast<double>(m_peers.table().reachable_count(now)));
     meter.set("quota_share", "Of the fleet's time, that this gateway earns.",
               m_state.quota.shared().share());
     meter.set("quota_kept", "Of the fleet's time, that this gateway keeps.",
-              m_state.quota.shared().pool().weight(now));
+              m_state.quota.shared().buckets().weight(now));
     meter.set("quota_machines", "Gateways that quotas are shared by.",
               static_cast<double>(m_state.quota.shared().fleet_size()));
     meter.set("suspended_seconds", "For which the machine was suspended.",
--- a/services/gateway/gateway_state.hpp
+++ b/services/gateway/gateway_state.hpp
@@ -16,13 +16,13 @@
 #include <duties/usage_counter.hpp>
 #include <engines/engine_table.hpp>
 #include <engines/service_work.hpp>
-#include <ingress/retry_allowance.hpp>
+#include <ingress/retry_budget_share.hpp>
 #include <ingress/route_table.hpp>
 #include <ingress/server_choice.hpp>
 #include <ingress/server_directory.hpp>
 #include <memory>
 #include <peers/time_estimate.hpp>
-#include <poison/poison_watch.hpp>
+#include <poison/poison_detector.hpp>
 #include <poison/suspects_in_flight.hpp>
 #include <rollouts/rollout_watch.hpp>
 #include <scaling/prompt_samples.hpp>
@@ -88,13 +88,13 @@
     server_choice choice;
     connection_pool pool;
     quota_service quota;
-    retry_allowance retries;
+    retry_budget_share retries;
     usage_counter usage;
     absl::BitGen random;
     engine_table engines;
     std::map<service_name, service_load> loads; ///< of engines
     skipped_records skipped;
-    poison_watch poison;
+    poison_detector poison;
     suspects_in_flight suspects;
     async_event poison_news;   ///< there is something to tell of `poison`
     async_event limit_updates; ///< limits of upstreams have changed
--- a/services/gateway/request_choice.cpp
+++ b/services/gateway/request_choice.cpp
@@ -28,17 +28,17 @@
     const auto now = gateway_state::now();
     if (m_tried.empty())
     {
-        wanted.trial = m_state.rollouts.pick_target(m_service->name, now);
+        wanted.canary = m_state.rollouts.pick_target(m_service->name, now);
     }
     const auto* server = m_state.choice.choose(wanted, now);
     const bool is_target_unusable =
-        wanted.trial &&
+        wanted.canary &&
         (server == nullptr || retry_delay_if_too_late(*server, wanted));
     if (!is_target_unusable)
     {
         return server;
     }
-    wanted.trial.reset();
+    wanted.canary.reset();
     return m_state.choice.choose(wanted, now);
 }
 
@@ -76,7 +76,8 @@
 {
     refund_quota();
     const auto now = gateway_state::now();
-    if (const auto rest = m_state.choice.all_rest_until(m_service->name, now))
+    if (const auto rest =
+            m_state.choice.earliest_back_off_end(m_service->name, now))
     {
         co_await reject(http_status::unavailable, "servers_rest",
                         std::clamp(absl::ToChronoMilliseconds(*rest - now),
--- a/services/gateway/request_engines.cpp
+++ b/services/gateway/request_engines.cpp
@@ -26,7 +26,7 @@
     {
         return std::nullopt;
     }
-    return expected - m_route->objective;
+    return expected - m_route->latency_objective;
 }
 
 // Records the time to first event, which is that of the head, for the rollout's
@@ -72,11 +72,12 @@
     {
         return;
     }
-    const auto tokens = static_cast<double>(m_work.tokens);
+    const auto tokens = static_cast<double>(m_work.expected_tokens);
     auto& load = m_state.loads[m_service->name];
     load.work += {1, tokens, tokens * tokens,
-                  static_cast<double>(m_facts.answer_tokens)};
-    load.samples.add({tokens, static_cast<double>(m_route->objective.count())});
+                  static_cast<double>(m_facts.max_output_tokens)};
+    load.samples.add(
+        {tokens, static_cast<double>(m_route->latency_objective.count())});
 }
 
 // Feeds the time to first event to the estimate of the prefill time. Requests
@@ -111,7 +112,7 @@
         return;
     }
     generation_seen seen;
-    seen.allowed_tokens = static_cast<double>(m_facts.answer_tokens);
+    seen.allowed_tokens = static_cast<double>(m_facts.max_output_tokens);
     seen.events = static_cast<double>(events);
     seen.first_to_last_ms = to_ms(time);
     seen.running = static_cast<double>(m_work.running + 1);
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -114,8 +114,8 @@
     // 4. The quota.
     if (m_tenant != nullptr)
     {
-        const auto stated = m_facts.prompt_tokens + m_facts.answer_tokens;
-        const auto tokens = stated > 0 ? stated : m_tenant->plain_tokens;
+        const auto stated = m_facts.prompt_tokens + m_facts.max_output_tokens;
+        const auto tokens = stated > 0 ? stated : m_tenant->default_tokens;
         m_quota_cost =
             m_tenant->counts_tokens ? static_cast<double>(tokens) : 1.0;
         auto verdict =
@@ -124,7 +124,7 @@
         if (!verdict.is_within)
         {
             const auto wait =
-                absl::ToChronoMilliseconds(m_state.quota.shared().time_to_earn(
+                absl::ToChronoMilliseconds(m_state.quota.shared().refill_time(
                     m_tenant->name, m_quota_cost));
             co_await reject(
                 http_status::too_many_requests, "quota",
@@ -202,7 +202,7 @@
     server_request sent(std::move(target.permit), target.server);
     sent.id = m_facts.id.value();
     sent.bytes = serialized_request(target.server);
-    sent.is_repeatable = may_repeat(*m_route);
+    sent.is_repeatable = allows_repeats(*m_route);
     sent.has_no_response_body = m_request.head.method == "HEAD";
     sent.deadline = m_deadline;
     return sent;
@@ -218,13 +218,13 @@
         m_service->is_engine && m_state.rollouts.is_watching(m_service->name)
             ? m_state.choice.expected_first_ms(server, wanted)
             : 0;
-    m_work =
-        m_state.choice.start(server.life(), wanted, m_service->cache_tokens);
+    m_work = m_state.choice.begin_attempt(server.incarnation(), wanted,
+                                          m_service->cache_tokens);
     m_seen = {};
     const auto suspect = m_suspect;
     if (suspect)
     {
-        m_state.suspects.begin(suspect->print, server.id);
+        m_state.suspects.begin(suspect->fingerprint, server.id);
     }
     record_demand();
     const auto sent_at = monotonic::now();
@@ -236,7 +236,7 @@
     }
     apply_notice(m_state, server, exchange.notice(),
                  gateway_state::to_time(sent_at));
-    m_state.choice.prompt_read(server.life(), m_work.tokens);
+    m_state.choice.end_prefill(server.incarnation(), m_work.expected_tokens);
     m_was_sent = exchange.known_verdict() != verdict::not_run;
     if (m_was_sent)
     {
@@ -247,7 +247,7 @@
     {
         m_state.limits.refund(exchange.take_permit());
     }
-    auto outcome = attempt_outcome::answered;
+    auto outcome = attempt_outcome::succeeded;
     if (m_is_cancelled)
     {
         result = attempt_result::abandoned;
@@ -256,7 +256,7 @@
     else if (state == exchange_state::timed_out)
     {
         m_may_have_run = true;
-        outcome = attempt_outcome::silent;
+        outcome = attempt_outcome::timed_out;
         result = attempt_result::late;
     }
     else if (state == exchange_state::failed)
@@ -269,7 +269,7 @@
     }
     else if (platform::states_not_run(exchange.head()))
     {
-        outcome = attempt_outcome::refused;
+        outcome = attempt_outcome::rejected;
         result = attempt_result::not_run;
     }
     else
@@ -302,12 +302,13 @@
     }
     else if (suspect)
     {
-        m_state.suspects.end(suspect->print, server.id);
+        m_state.suspects.end(suspect->fingerprint, server.id);
     }
-    m_state.choice.end(server.life());
+    m_state.choice.end_attempt(server.incarnation());
     if (result != attempt_result::abandoned)
     {
-        m_state.choice.report(server.life(), outcome, gateway_state::now());
+        m_state.choice.record_outcome(server.incarnation(), outcome,
+                                      gateway_state::now());
     }
     co_return result;
 }
@@ -334,7 +335,7 @@
     }
     const bool can_run_again =
         !m_may_have_run ||
-        (may_repeat(*m_route) && m_attempts < m_route->max_attempts);
+        (allows_repeats(*m_route) && m_attempts < m_route->max_attempts);
     if (!can_run_again || m_attempts > m_route->max_attempts)
     {
         return false;
--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -37,11 +37,11 @@
         return;
     }
     const auto shape = shape_of(content());
-    if (!m_state.poison.may_know(shape))
+    if (!m_state.poison.has_shape(shape))
     {
         return;
     }
-    const auto print = print_of(content());
+    const auto print = fingerprint_of(content());
     if (m_state.poison.find(print) != nullptr)
     {
         m_suspect = suspect_request{print, shape, m_service->name};
@@ -51,13 +51,14 @@
 // Whether the request must not be sent now: other hosts' reports of its last
 // crash are outstanding, or the evidence allows one attempt at a time and one
 // is in flight.
-bool request_flow::must_wait(const request_print& print) const
+bool request_flow::must_wait(const request_fingerprint& print) const
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
     const auto now = gateway_state::now();
     const bool is_only_attempt = !m_state.suspects.has(print);
     return m_state.poison.must_wait(print, servers, now) ||
-           (!is_only_attempt && m_state.poison.goes_alone(print, servers, now));
+           (!is_only_attempt &&
+            m_state.poison.is_serialized(print, servers, now));
 }
 
 // Waits briefly for other hosts' reports of the request's last crash. Most
@@ -65,10 +66,10 @@
 awaitable<void> request_flow::wait_for_peer_reports()
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
-    const auto level =
-        m_state.poison.judge(m_suspect->print, servers, gateway_state::now());
+    const auto level = m_state.poison.judge(m_suspect->fingerprint, servers,
+                                            gateway_state::now());
     const bool has_time = time_left() > report_wait * min_waits_left;
-    if (level != suspicion::suspect || !must_wait(m_suspect->print) ||
+    if (level != suspicion::suspect || !must_wait(m_suspect->fingerprint) ||
         !has_time)
     {
         co_return;
@@ -93,14 +94,14 @@
         co_return false;
     }
     const auto now = gateway_state::now();
-    const auto& print = m_suspect->print;
+    const auto& print = m_suspect->fingerprint;
     const auto servers = m_state.servers.usable(m_service->name).size();
     const auto level = m_state.poison.judge(print, servers, now);
-    const bool is_confirmed = level == suspicion::proved;
+    const bool is_confirmed = level == suspicion::confirmed;
     const bool is_allowed =
-        is_confirmed ? m_state.poison.may_try(print, m_state.self, now)
+        is_confirmed ? m_state.poison.acquire_probe(print, m_state.self, now)
                      : !must_wait(print);
-    if (m_state.poison.has_news())
+    if (m_state.poison.has_unsent())
     {
         m_state.poison_news.notify();
     }
@@ -116,7 +117,7 @@
     refund_quota();
     const auto wait = is_confirmed
                           ? absl::ToChronoMilliseconds(
-                                m_state.poison.time_to_trial(print, now))
+                                m_state.poison.time_to_probe(print, now))
                           : retry_when_suspected;
     co_await reject(http_status::unavailable,
                     is_confirmed ? "ends_servers" : "may_end_servers",
@@ -145,16 +146,18 @@
         record_unfinished_attempt(server, result, started);
         return;
     }
-    const whole_answer evidence{{server.id, server.born}, m_state.self};
+    const completed_response evidence{{server.id, server.started_at},
+                                      m_state.self};
     const auto now = gateway_state::now();
     if (m_suspect)
     {
-        m_state.poison.note_whole(m_suspect->print, evidence, now);
+        m_state.poison.record_response(m_suspect->fingerprint, evidence, now);
         m_state.poison_news.notify();
     }
     else
     {
-        m_state.poison.note_answered(shape_of(content()), evidence, now);
+        m_state.poison.record_shape_response(shape_of(content()), evidence,
+                                             now);
     }
 }
 
@@ -174,7 +177,7 @@
         return;
     }
     const auto request = m_suspect.value_or(suspect_request{
-        print_of(content()), shape_of(content()), m_service->name});
+        fingerprint_of(content()), shape_of(content()), m_service->name});
     m_state.crashes.record_unfinished_attempt(server, request,
                                               gateway_state::to_time(started));
     if (is_broken)
--- a/services/gateway/request_relay.cpp
+++ b/services/gateway/request_relay.cpp
@@ -84,7 +84,7 @@
                           : attempt_result::abandoned;
     }
     const auto status = exchange.head().status;
-    if (status >= http_status::first_server_error && may_repeat(*m_route) &&
+    if (status >= http_status::first_server_error && allows_repeats(*m_route) &&
         status != http_status::gateway_timeout)
     {
         m_error_response.emplace(exchange.head(), std::move(body));
--- a/services/gateway/upstream_limiter.hpp
+++ b/services/gateway/upstream_limiter.hpp
@@ -13,7 +13,7 @@
 #include <platform/forward.hpp>
 #include <telemetry/name_batch.hpp>
 #include <upstream_limits/limit_record.hpp>
-#include <upstream_limits/return_schedule.hpp>
+#include <upstream_limits/retry_schedule.hpp>
 
 namespace daleshelf
 {
@@ -37,7 +37,7 @@
     /// @return the limit of this incarnation of an upstream, in requests a
     /// second, if it has one
     [[nodiscard]] std::optional<double>
-    limit_of(const upstream_life& server) const;
+    limit_of(const upstream_incarnation& server) const;
 
     /// Takes one request out of an upstream's limit.
     /// @return nothing if the limit is used up; the upstream is then passed
@@ -64,7 +64,7 @@
     gateway_state& m_state;
     /// Incarnations whose unreadable limit was logged.
     absl::flat_hash_map<upstream_id, upstream_birth> m_unreadable;
-    absl::flat_hash_map<service_name, return_schedule> m_retries;
+    absl::flat_hash_map<service_name, retry_schedule> m_retries;
     /// Upstreams passed over since the last log line.
     name_batch m_passed_over{max_named};
 };
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -5,11 +5,11 @@
 #include "fuzz_input.hpp"
 
 #include <array>
-#include <peers/machine_state.hpp>
+#include <peers/host_state.hpp>
 #include <peers/topic_records.hpp>
 #include <peers/window_counts.hpp>
+#include <poison/poison_detector.hpp>
 #include <poison/poison_message.hpp>
-#include <poison/poison_watch.hpp>
 #include <quotas/quota_message.hpp>
 #include <rollouts/rollout_message.hpp>
 #include <upstream_limits/limit_message.hpp>
@@ -50,12 +50,12 @@
     require(again.has_value(), "what was written can be read");
     require(encode_poison(*again, now) == written,
             "what was read twice is the same");
-    poison_watch watch{poison_options()};
+    poison_detector watch{poison_options()};
     for (const auto& record : *records)
     {
         watch.merge(record, now);
-        (void)watch.judge(record.print, 3, now);
-        (void)watch.time_to_trial(record.print, now);
+        (void)watch.judge(record.fingerprint, 3, now);
+        (void)watch.time_to_probe(record.fingerprint, now);
     }
 }
 
@@ -77,13 +77,14 @@
     for (const auto& record : *records)
     {
         table.merge(record, now);
-        table.record_answer({record.server, 1.0, now}, now, now);
+        table.record_response({record.server, 1.0, now}, now, now);
     }
-    require(table.limited() <= records->size(), "each upstream counts once");
-    (void)table.next_in_turn(4);
+    require(table.limited_count() <= records->size(),
+            "each upstream counts once");
+    (void)table.next_to_repeat(4);
 }
 
-constexpr std::array readers{&read_again<decode_machine_state>,
+constexpr std::array readers{&read_again<decode_host_state>,
                              &read_again<decode_shared_records>,
                              &read_again<decode_window_counts>,
                              &read_again<decode_quota_message>,
--- a/tests/gateway/crash_detector_test.cpp
+++ b/tests/gateway/crash_detector_test.cpp
@@ -76,9 +76,10 @@
     {
         bool is_known = false;
         on_loop(
-            [&] {
-                is_known =
-                    m_state.poison.find(print_of(content_of(path))) != nullptr;
+            [&]
+            {
+                is_known = m_state.poison.find(
+                               fingerprint_of(content_of(path))) != nullptr;
             });
         return is_known;
     }
@@ -162,13 +163,13 @@
        an_aborted_suspect_is_in_flight_until_its_crash_is_detected)
 {
     const auto path = "/unsafe/deadly";
-    const auto print = print_of(content_of(path));
-    const server_life elsewhere{upstream_id("z"), {}};
+    const auto print = fingerprint_of(content_of(path));
+    const server_incarnation elsewhere{upstream_id("z"), {}};
     on_loop(
         [&]
         {
             const auto now = gateway_state::now();
-            m_state.poison.note_end(
+            m_state.poison.record_crash(
                 {print, shape_of(content_of(path)), service_name("service")},
                 elsewhere, absl::Seconds(1), now - absl::Seconds(1));
         });
@@ -186,7 +187,7 @@
             [&]
             {
                 is_in_flight = m_state.suspects.has(print);
-                crashes = m_state.poison.find(print)->ends.size();
+                crashes = m_state.poison.find(print)->crashes.size();
             });
     }
     EXPECT_EQ(crashes, 2);
--- a/tests/gateway/poison_path_test.cpp
+++ b/tests/gateway/poison_path_test.cpp
@@ -101,10 +101,10 @@
             {
                 const auto now = gateway_state::now();
                 poison_record peer_record;
-                peer_record.print = suspect.print;
+                peer_record.fingerprint = suspect.fingerprint;
                 peer_record.shape = suspect.shape;
                 peer_record.service = suspect.service;
-                peer_record.ends[{upstream_id("z"), {}}] = {
+                peer_record.crashes[{upstream_id("z"), {}}] = {
                     now - absl::Seconds(1), absl::Seconds(1)};
                 m_state.poison.merge(peer_record, now);
             });
@@ -116,10 +116,10 @@
     {
         const auto now = gateway_state::now();
         poison_record reported;
-        reported.print = suspect.print;
+        reported.fingerprint = suspect.fingerprint;
         reported.shape = suspect.shape;
         reported.service = suspect.service;
-        reported.ends[{upstream_id(id), {}}] = {now - age, absl::Seconds(1)};
+        reported.crashes[{upstream_id(id), {}}] = {now - age, absl::Seconds(1)};
         m_state.poison.merge(reported, now);
     }
 
@@ -132,7 +132,7 @@
         m_report_timer.async_wait(
             [this](const error_code&)
             {
-                const suspect_request other{request_print("other"), 1,
+                const suspect_request other{request_fingerprint("other"), 1,
                                             service_name("service")};
                 for (const auto* id : {"x", "y"})
                 {
@@ -141,10 +141,10 @@
             });
     }
 
-    void wait_until_confirmed(const request_print& print)
+    void wait_until_confirmed(const request_fingerprint& print)
     {
         auto level = suspicion::none;
-        while (level != suspicion::proved)
+        while (level != suspicion::confirmed)
         {
             on_loop(
                 [&] {
@@ -161,13 +161,13 @@
 TEST_F(poison_path, a_request_that_crashed_two_servers_is_rejected)
 {
     const request_content content{{}, "h", "GET", "/unsafe/deadly", ""};
-    const suspect_request suspect{print_of(content), shape_of(content),
+    const suspect_request suspect{fingerprint_of(content), shape_of(content),
                                   service_name("service")};
     merge_peer_crash(suspect);
     const crashing_server crashing;
     list(crashing, "a");
     EXPECT_TRUE(fetch("/unsafe/deadly").starts_with("HTTP/1.1 502 "));
-    wait_until_confirmed(suspect.print);
+    wait_until_confirmed(suspect.fingerprint);
     add_server("c", m_healthy);
     const auto response = fetch("/unsafe/deadly");
     EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
@@ -185,7 +185,7 @@
 TEST_F(poison_path, a_request_is_held_until_its_last_crash_is_settled)
 {
     const request_content content{{}, "h", "GET", "/unsafe/popular", ""};
-    const suspect_request suspect{print_of(content), shape_of(content),
+    const suspect_request suspect{fingerprint_of(content), shape_of(content),
                                   service_name("service")};
     add_server("c", m_healthy);
     on_loop(
@@ -193,7 +193,7 @@
         {
             merge_crash(suspect, "v", absl::Seconds(2));
             merge_crash(suspect, "w", absl::Milliseconds(50));
-            EXPECT_TRUE(m_state.poison.must_wait(suspect.print, 1,
+            EXPECT_TRUE(m_state.poison.must_wait(suspect.fingerprint, 1,
                                                  gateway_state::now()));
             merge_other_crashes_later();
         });
@@ -230,7 +230,7 @@
             entry.is_draining = true;
             m_state.servers.set(entry);
             m_state.crashes.record_unfinished_attempt(
-                entry, {request_print("p"), 1, service_name("service")},
+                entry, {request_fingerprint("p"), 1, service_name("service")},
                 gateway_state::now() - absl::Seconds(1));
             asio::co_spawn(
                 m_context,
@@ -262,14 +262,14 @@
             choice_request request;
             request.service = service_name("service");
             request.facts = &facts;
-            m_state.choice.start({upstream_id("a"), {}}, request, 0);
-            m_state.suspects.begin(request_print("p"), upstream_id("b"));
+            m_state.choice.begin_attempt({upstream_id("a"), {}}, request, 0);
+            m_state.suspects.begin(request_fingerprint("p"), upstream_id("b"));
             request.is_suspect = true;
             request.suspected_at = m_state.suspects.servers();
             const auto* chosen =
                 m_state.choice.choose(request, gateway_state::now());
             EXPECT_EQ(chosen->id, upstream_id("c"));
-            m_state.suspects.end(request_print("p"), upstream_id("b"));
+            m_state.suspects.end(request_fingerprint("p"), upstream_id("b"));
             EXPECT_TRUE(m_state.suspects.servers().empty());
         });
 }
--- a/tests/gateway/server_limit_test.cpp
+++ b/tests/gateway/server_limit_test.cpp
@@ -132,7 +132,7 @@
             [&]
             {
                 auto& quota = m_state.quota.shared();
-                quota.note_fleet(true, gateway_state::now());
+                quota.record_fleet_discovery(true, gateway_state::now());
                 m_state.quota.tick();
             });
     }
@@ -225,7 +225,7 @@
     EXPECT_TRUE(fetch("/unsafe/x").starts_with("HTTP/1.1 503 "));
     EXPECT_EQ(limited.request_count(), 0U);
     merge_peer_limit(std::nullopt, 2000);
-    on_loop([&] { m_state.choice.forget(upstream_id("a")); });
+    on_loop([&] { m_state.choice.reset_server(upstream_id("a")); });
     EXPECT_TRUE(fetch("/unsafe/x").ends_with("limited"));
 }
 
