--- a/services/gateway/request_flow.hpp
+++ b/services/gateway/request_flow.hpp
@@ -116,7 +116,7 @@
     choose_permitted_server(choice_request& wanted);
     [[nodiscard]] request_content content() const;
     void identify_suspect();
-    [[nodiscard]] bool must_wait(const request_fingerprint& print) const;
+    [[nodiscard]] bool must_wait(const request_fingerprint& fingerprint) const;
     awaitable<void> wait_for_peer_reports();
     awaitable<bool> reject_if_poison();
     void mark_suspect(choice_request& wanted);
--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -41,24 +41,24 @@
     {
         return;
     }
-    const auto print = fingerprint_of(content());
-    if (m_state.poison.find(print) != nullptr)
+    const auto fingerprint = fingerprint_of(content());
+    if (m_state.poison.find(fingerprint) != nullptr)
     {
-        m_suspect = suspect_request{print, shape, m_service->name};
+        m_suspect = suspect_request{fingerprint, shape, m_service->name};
     }
 }
 
 // Whether the request must not be sent now: other hosts' reports of its last
 // crash are outstanding, or the evidence allows one attempt at a time and one
 // is in flight.
-bool request_flow::must_wait(const request_fingerprint& print) const
+bool request_flow::must_wait(const request_fingerprint& fingerprint) const
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
     const auto now = gateway_state::now();
-    const bool is_only_attempt = !m_state.suspects.has(print);
-    return m_state.poison.must_wait(print, servers, now) ||
+    const bool is_only_attempt = !m_state.suspects.has(fingerprint);
+    return m_state.poison.must_wait(fingerprint, servers, now) ||
            (!is_only_attempt &&
-            m_state.poison.is_serialized(print, servers, now));
+            m_state.poison.is_serialized(fingerprint, servers, now));
 }
 
 // Waits briefly for other hosts' reports of the request's last crash. Most
@@ -94,13 +94,14 @@
         co_return false;
     }
     const auto now = gateway_state::now();
-    const auto& print = m_suspect->fingerprint;
+    const auto& fingerprint = m_suspect->fingerprint;
     const auto servers = m_state.servers.usable(m_service->name).size();
-    const auto level = m_state.poison.judge(print, servers, now);
+    const auto level = m_state.poison.judge(fingerprint, servers, now);
     const bool is_confirmed = level == suspicion::confirmed;
     const bool is_allowed =
-        is_confirmed ? m_state.poison.acquire_probe(print, m_state.self, now)
-                     : !must_wait(print);
+        is_confirmed
+            ? m_state.poison.acquire_probe(fingerprint, m_state.self, now)
+            : !must_wait(fingerprint);
     if (m_state.poison.has_unsent())
     {
         m_state.poison_news.notify();
@@ -117,7 +118,7 @@
     refund_quota();
     const auto wait = is_confirmed
                           ? absl::ToChronoMilliseconds(
-                                m_state.poison.time_to_probe(print, now))
+                                m_state.poison.time_to_probe(fingerprint, now))
                           : retry_when_suspected;
     co_await reject(http_status::unavailable,
                     is_confirmed ? "ends_servers" : "may_end_servers",
--- a/services/gateway/server_notices.cpp
+++ b/services/gateway/server_notices.cpp
@@ -28,7 +28,7 @@
 void apply_notice(gateway_state& state, const server_entry& server,
                   const platform::server_notice& notice, absl::Time sent_at)
 {
-    state.limits.record_answer(server, notice, sent_at);
+    state.limits.record_response(server, notice, sent_at);
     // The list of upstreams can lag behind for longer than an upstream takes to
     // drain: its own notice came up to 12 s before the list's.
     if (notice.is_leaving)
--- a/services/gateway/upstream_limiter.cpp
+++ b/services/gateway/upstream_limiter.cpp
@@ -20,9 +20,9 @@
 
 } // namespace
 
-void upstream_limiter::record_answer(const server_entry& server,
-                                     const platform::server_notice& notice,
-                                     absl::Time sent_at)
+void upstream_limiter::record_response(const server_entry& server,
+                                       const platform::server_notice& notice,
+                                       absl::Time sent_at)
 {
     if (notice.has_faulty_limit)
     {
--- a/services/gateway/upstream_limiter.hpp
+++ b/services/gateway/upstream_limiter.hpp
@@ -30,9 +30,9 @@
 
     /// Records what a response says about its upstream's limit.
     /// @param sent_at when the request was sent, monotonic
-    void record_answer(const server_entry& server,
-                       const platform::server_notice& notice,
-                       absl::Time sent_at);
+    void record_response(const server_entry& server,
+                         const platform::server_notice& notice,
+                         absl::Time sent_at);
 
     /// @return the limit of this incarnation of an upstream, in requests a
     /// second, if it has one
--- a/tests/gateway/crash_detector_test.cpp
+++ b/tests/gateway/crash_detector_test.cpp
@@ -163,14 +163,15 @@
        an_aborted_suspect_is_in_flight_until_its_crash_is_detected)
 {
     const auto path = "/unsafe/deadly";
-    const auto print = fingerprint_of(content_of(path));
+    const auto fingerprint = fingerprint_of(content_of(path));
     const server_incarnation elsewhere{upstream_id("z"), {}};
     on_loop(
         [&]
         {
             const auto now = gateway_state::now();
             m_state.poison.record_crash(
-                {print, shape_of(content_of(path)), service_name("service")},
+                {fingerprint, shape_of(content_of(path)),
+                 service_name("service")},
                 elsewhere, absl::Seconds(1), now - absl::Seconds(1));
         });
     silent_server server;
@@ -178,7 +179,7 @@
     request_and_disconnect(path, server);
     server.server().crash();
     bool is_in_flight = false;
-    on_loop([&] { is_in_flight = m_state.suspects.has(print); });
+    on_loop([&] { is_in_flight = m_state.suspects.has(fingerprint); });
     EXPECT_TRUE(is_in_flight);
     std::size_t crashes = 1;
     while (is_in_flight)
@@ -186,8 +187,8 @@
         on_loop(
             [&]
             {
-                is_in_flight = m_state.suspects.has(print);
-                crashes = m_state.poison.find(print)->crashes.size();
+                is_in_flight = m_state.suspects.has(fingerprint);
+                crashes = m_state.poison.find(fingerprint)->crashes.size();
             });
     }
     EXPECT_EQ(crashes, 2);
--- a/tests/gateway/poison_path_test.cpp
+++ b/tests/gateway/poison_path_test.cpp
@@ -141,15 +141,15 @@
             });
     }
 
-    void wait_until_confirmed(const request_fingerprint& print)
+    void wait_until_confirmed(const request_fingerprint& fingerprint)
     {
         auto level = suspicion::none;
         while (level != suspicion::confirmed)
         {
             on_loop(
                 [&] {
-                    level =
-                        m_state.poison.judge(print, 3, gateway_state::now());
+                    level = m_state.poison.judge(fingerprint, 3,
+                                                 gateway_state::now());
                 });
         }
     }
