--- a/services/gateway/crash_detector.cpp
+++ b/services/gateway/crash_detector.cpp
@@ -97,7 +97,7 @@
     }
     if (sign == crash_sign::refused)
     {
-        record_crash(instance, sign);
+        handle_crash(instance, sign);
         return;
     }
     asio::co_spawn(
@@ -145,7 +145,7 @@
     m_running_probes.erase(instance);
     if (is_crashed)
     {
-        record_crash(instance, sign);
+        handle_crash(instance, sign);
     }
 }
 
@@ -167,7 +167,7 @@
     m_state.suspects.end(request.fingerprint, server.id);
 }
 
-void crash_detector::record_crash(const server_incarnation& instance,
+void crash_detector::handle_crash(const server_incarnation& instance,
                                   crash_sign sign)
 {
     for (const auto& attempt :
--- a/services/gateway/crash_detector.hpp
+++ b/services/gateway/crash_detector.hpp
@@ -57,7 +57,7 @@
                              const suspect_request& request);
 
     /// Records that this incarnation of an upstream has certainly crashed.
-    void record_crash(const server_incarnation& instance, crash_sign sign);
+    void handle_crash(const server_incarnation& instance, crash_sign sign);
 
 private:
     [[nodiscard]] bool is_expected_to_run(const server_entry& server) const;
--- a/services/gateway/gateway_records.cpp
+++ b/services/gateway/gateway_records.cpp
@@ -151,7 +151,7 @@
         m_state.pool.drop(entry.id);
         if (was_to_stay)
         {
-            m_state.crashes.record_crash({entry.id, born_before},
+            m_state.crashes.handle_crash({entry.id, born_before},
                                          crash_sign::listed);
         }
     }
--- a/services/gateway/poison_service.cpp
+++ b/services/gateway/poison_service.cpp
@@ -120,7 +120,7 @@
         // Its server has ended under others of this host as well.
         for (const auto& [life, end] : record.crashes)
         {
-            m_state.crashes.record_crash(life, crash_sign::reported);
+            m_state.crashes.handle_crash(life, crash_sign::reported);
         }
     }
 }
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -253,7 +253,7 @@
         result = attempt_result::abandoned;
         m_may_have_run = true;
     }
-    else if (state == exchange_state::timed_out)
+    else if (state == exchange_state::deadline_passed)
     {
         m_may_have_run = true;
         outcome = attempt_outcome::timed_out;
--- a/services/gateway/request_relay.cpp
+++ b/services/gateway/request_relay.cpp
@@ -70,7 +70,7 @@
         }
         if (state != exchange_state::complete)
         {
-            co_return state == exchange_state::timed_out
+            co_return state == exchange_state::deadline_passed
                 ? attempt_result::late
                 : attempt_result::broken;
         }
@@ -131,7 +131,7 @@
             }
             continue;
         }
-        if (state == exchange_state::timed_out)
+        if (state == exchange_state::deadline_passed)
         {
             if (monotonic::now() >= m_deadline)
             {
--- a/services/gateway/server_exchange.cpp
+++ b/services/gateway/server_exchange.cpp
@@ -86,7 +86,7 @@
             co_await m_connection->channel->wait_input(until);
         if (!has_input)
         {
-            co_return exchange_state::timed_out;
+            co_return exchange_state::deadline_passed;
         }
     }
 }
@@ -155,7 +155,7 @@
             co_await m_connection->channel->wait_input(m_request.deadline);
         if (!has_input)
         {
-            co_return exchange_state::timed_out;
+            co_return exchange_state::deadline_passed;
         }
     }
 }
--- a/services/gateway/server_exchange.hpp
+++ b/services/gateway/server_exchange.hpp
@@ -34,11 +34,11 @@
 /// Progress of an exchange.
 enum class exchange_state
 {
-    head,      ///< the response head is available
-    piece,     ///< a piece of the body is available
-    complete,  ///< the response is complete
-    failed,    ///< the exchange failed; see `known_verdict`
-    timed_out, ///< the deadline has passed
+    head,            ///< the response head is available
+    piece,           ///< a piece of the body is available
+    complete,        ///< the response is complete
+    failed,          ///< the exchange failed; see `known_verdict`
+    deadline_passed, ///< the deadline has passed
 };
 
 /// Sends one request to one upstream and reads its response. Responses to other
@@ -55,7 +55,7 @@
     awaitable<exchange_state> start();
 
     /// Waits for the next piece of the body.
-    /// @param until when the wait ends with `timed_out`
+    /// @param until when the wait ends with `deadline_passed`
     awaitable<exchange_state> read_piece(monotonic::time_point until);
 
     /// @return the piece found by `read_piece`
