--- a/services/gateway/request_choice.cpp
+++ b/services/gateway/request_choice.cpp
@@ -1,5 +1,4 @@
-// How a request's flow chooses a server, and takes its part of that server's
-// limit.
+// Choice of an upstream for a request, within the upstream's rate limit.
 #include "request_flow.hpp"
 
 #include <algorithm>
@@ -8,7 +7,7 @@
 namespace daleshelf
 {
 
-choice_request request_flow::next_choice()
+choice_request request_flow::make_choice_request()
 {
     choice_request wanted;
     wanted.service = m_service->name;
@@ -21,9 +20,9 @@
     return wanted;
 }
 
-// A few first attempts are tried with the version that the service may move to;
-// one that cannot be goes the usual way.
-// @param wanted its version is set if the request is tried with that
+// Sends a share of the first attempts to the target version of a rollout. If no
+// upstream of that version can respond in time, the usual choice applies.
+// @param wanted its version is set if the attempt goes to the target version
 const server_entry* request_flow::choose_server(choice_request& wanted)
 {
     const auto now = gateway_state::now();
@@ -32,9 +31,10 @@
         wanted.canary = m_state.rollouts.pick_target(m_service->name, now);
     }
     const auto* server = m_state.choice.choose(wanted, now);
-    const bool is_tried_in_vain =
-        wanted.canary && (server == nullptr || hopeless_for(*server, wanted));
-    if (!is_tried_in_vain)
+    const bool is_target_unusable =
+        wanted.canary &&
+        (server == nullptr || retry_delay_if_too_late(*server, wanted));
+    if (!is_target_unusable)
     {
         return server;
     }
@@ -42,10 +42,10 @@
     return m_state.choice.choose(wanted, now);
 }
 
-// The best server that has room within its limit.
-// @param wanted takes those that have none
+// Chooses the best upstream whose rate limit admits the request.
+// @param wanted its excluded set receives the upstreams without room
 awaitable<std::optional<request_flow::permitted_server>>
-request_flow::choose_permitted(choice_request& wanted)
+request_flow::choose_permitted_server(choice_request& wanted)
 {
     while (true)
     {
@@ -61,7 +61,7 @@
             wanted.excluded.insert(chosen.id);
             continue;
         }
-        // It may have begun to leave while its limit was asked for.
+        // It may have started to drain while the permit was acquired.
         if (m_state.servers.is_usable(chosen.id))
         {
             co_return permitted_server{chosen, std::move(*permit)};
@@ -70,18 +70,18 @@
     }
 }
 
-// No server has taken the request. Its client may come back when the first of
-// them is to be asked again.
-awaitable<void> request_flow::refuse_unserved(attempt_end end)
+// Rejects a request that no upstream has accepted. Retry-After names the time
+// at which the first of them accepts requests again.
+awaitable<void> request_flow::reject_unserved(attempt_result result)
 {
     refund_quota();
     const auto now = gateway_state::now();
     if (const auto rest =
             m_state.choice.earliest_back_off_end(m_service->name, now))
     {
-        co_await refuse(http_status::unavailable, "servers_rest",
+        co_await reject(http_status::unavailable, "servers_rest",
                         std::clamp(absl::ToChronoMilliseconds(*rest - now),
-                                   retry_when_full, longest_retry));
+                                   retry_when_full, max_retry_after));
         co_return;
     }
     const auto passed_over = m_state.choice.passed_over(m_service->name, now);
@@ -91,15 +91,15 @@
         {
             m_passed_over.add(server.value());
         }
-        const auto wait = m_state.limits.reserve_return(m_service->name);
-        co_await refuse(http_status::unavailable, "servers_limited",
+        const auto wait = m_state.limits.reserve_retry(m_service->name);
+        co_await reject(http_status::unavailable, "servers_limited",
                         std::clamp(absl::ToChronoMilliseconds(wait),
-                                   retry_when_full, longest_retry));
+                                   retry_when_full, max_retry_after));
         co_return;
     }
-    co_await refuse(http_status::unavailable,
-                    end == attempt_end::not_reached ? "no_server_reached"
-                                                    : "servers_full",
+    co_await reject(http_status::unavailable,
+                    result == attempt_result::not_reached ? "no_server_reached"
+                                                          : "servers_full",
                     retry_when_full);
 }
 
--- a/services/gateway/request_engines.cpp
+++ b/services/gateway/request_engines.cpp
@@ -1,4 +1,4 @@
-// What a request's flow tells of engines, and expects of them.
+// Statistics of engines from requests, and the expected time to first event.
 #include "request_flow.hpp"
 
 #include <algorithm>
@@ -7,12 +7,13 @@
 namespace daleshelf
 {
 
-// Whether the request cannot begin in time even at the best server: waiting
-// would only cost its client the time.
-// @return after how long places are expected to be free, in ms
+// Predicts whether the first event would miss the deadline even at the best
+// upstream. Rejecting at once then saves the client the wait.
+// @return the time in ms after which slots are expected to be free, or nothing
+// if the deadline can be met
 std::optional<milliseconds>
-request_flow::hopeless_for(const server_entry& server,
-                           const choice_request& wanted) const
+request_flow::retry_delay_if_too_late(const server_entry& server,
+                                      const choice_request& wanted) const
 {
     if (!m_service->is_engine || m_may_have_run ||
         !m_state.settings.refuses_hopeless)
@@ -28,9 +29,10 @@
     return expected - m_route->latency_objective;
 }
 
-// What the head's time, which is that of the first event, shows of a version.
-void request_flow::note_first(const response_head& head,
-                              monotonic::duration time)
+// Records the time to first event, which is that of the head, for the rollout's
+// comparison of versions: for engines in percent of the expected time.
+void request_flow::record_first_event(const response_head& head,
+                                      monotonic::duration time)
 {
     constexpr double percent = 100;
     if (m_service->is_engine && head.status < http_status::bad_request)
@@ -40,18 +42,21 @@
     }
 }
 
-// What an attempt that has reached a server shows of its version.
-void request_flow::note_version(const server_entry& server, attempt_end end,
-                                monotonic::duration time)
+// Records the result of an attempt for the rollout's comparison of versions.
+// Attempts that did not run, or whose client left, do not count.
+void request_flow::record_version_result(const server_entry& server,
+                                         attempt_result result,
+                                         monotonic::duration time)
 {
-    const bool is_answer =
-        end == attempt_end::answered || end == attempt_end::server_error ||
-        end == attempt_end::broken || end == attempt_end::late;
-    if (!is_answer)
+    const bool is_response = result == attempt_result::answered ||
+                             result == attempt_result::server_error ||
+                             result == attempt_result::broken ||
+                             result == attempt_result::late;
+    if (!is_response)
     {
         return;
     }
-    m_seen.is_failure = m_seen.is_failure || end != attempt_end::answered;
+    m_seen.is_failure = m_seen.is_failure || result != attempt_result::answered;
     if (!m_service->is_engine)
     {
         m_seen.first_latency = to_ms(time);
@@ -60,8 +65,8 @@
                                      m_route->name, m_seen);
 }
 
-// What the request asks of the service's engines, for whoever orders servers.
-void request_flow::count_work()
+// Records the work that the request brings, as input for autoscaling.
+void request_flow::record_demand()
 {
     if (!m_service->is_engine)
     {
@@ -75,14 +80,14 @@
         {tokens, static_cast<double>(m_route->latency_objective.count())});
 }
 
-// One that had to wait for a place, or that goes on elsewhere, tells nothing
-// of the time to read.
-void request_flow::learn_reading(const server_entry& server,
-                                 const response_head& head,
-                                 monotonic::duration time)
+// Feeds the time to first event to the estimate of the prefill time. Requests
+// that waited for a slot, and resumed streams, would distort it.
+void request_flow::record_prefill_time(const server_entry& server,
+                                       const response_head& head,
+                                       monotonic::duration time)
 {
     if (!m_service->is_engine || !m_state.settings.learns_engines ||
-        head.status >= http_status::bad_request || m_answer.has_begun() ||
+        head.status >= http_status::bad_request || m_response.has_begun() ||
         m_work.running >= server.slots)
     {
         return;
@@ -97,9 +102,10 @@
         .observe_prompt(seen, gateway_state::now());
 }
 
-// A stream that came whole from one server tells how fast that generates.
-void request_flow::learn_generating(std::int64_t events,
-                                    monotonic::duration time)
+// Feeds the duration of a stream to the estimate of the generation speed. Only
+// streams that came completely from one upstream count.
+void request_flow::record_generation_time(std::int64_t events,
+                                          monotonic::duration time)
 {
     if (!m_service->is_engine || !m_state.settings.learns_engines ||
         m_attempts != 1)
--- a/services/gateway/request_flow.hpp
+++ b/services/gateway/request_flow.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The way of one request through the gateway.
+/// Handles one client request, from admission to its final response.
 #pragma once
 
-#include "client_answer.hpp"
+#include "client_response.hpp"
 #include "gateway_state.hpp"
 #include "server_exchange.hpp"
 
@@ -18,7 +18,7 @@
 namespace daleshelf
 {
 
-/// One whole request of a client.
+/// A completely received client request.
 struct client_request
 {
     request_head head;
@@ -26,107 +26,116 @@
     monotonic::time_point received{};
 };
 
-/// Decides, sends and answers one request: finds its route and tenant, takes
-/// its quota, and tries servers until one has answered, or until nothing more
-/// may be tried. Every request gets exactly one final answer, at once when it
-/// is known. The steps are those of docs/design/platform.md, "One request".
+/// Routes, sends, retries and answers one request: finds its route and
+/// workspace, takes its quota, and attempts upstreams until one has responded
+/// or no further attempt is allowed. Every request gets exactly one final
+/// response, sent as soon as it is known. The steps are those of
+/// docs/design/platform.md, "One request".
 class request_flow
 {
 public:
-    request_flow(gateway_state& state, client_answer& answer,
+    request_flow(gateway_state& state, client_response& response,
                  client_request request);
     ~request_flow();
     request_flow(const request_flow&) = delete;
     request_flow& operator=(const request_flow&) = delete;
 
-    /// Serves the request to its end.
+    /// Processes the request until its final response is sent.
     awaitable<void> run();
 
-    /// The client has left: the server is freed at once.
+    /// Handles the client's disconnect: aborts the attempt in flight, so that
+    /// the upstream is released at once.
     void cancel();
 
 private:
-    /// How one attempt has ended.
-    enum class attempt_end
+    /// Result of one attempt.
+    enum class attempt_result
     {
-        answered,     ///< the client has its whole answer
-        not_run,      ///< certainly not run; may be tried elsewhere
-        not_reached,  ///< no connection; nothing has arrived
-        server_error, ///< run; the server's own failure is kept
-        broken,       ///< may have run, or an answer was cut off
-        late,         ///< the time is over
-        abandoned,    ///< the client has left
+        answered,     ///< the client has the complete response
+        not_run,      ///< certainly not executed; can be retried elsewhere
+        not_reached,  ///< no connection, nothing was delivered
+        server_error, ///< executed; the upstream's 5xx response is kept
+        broken,       ///< may have run, or its response was cut off
+        late,         ///< the deadline has passed
+        abandoned,    ///< the client has disconnected
     };
 
-    /// A server that may get the request, within its limit.
+    /// A chosen upstream, with the permit to send it one request.
     struct permitted_server
     {
         server_entry server;
         send_permit permit;
     };
 
-    // When a client may come back that was refused.
+    // Retry-After of rejected requests.
     static constexpr milliseconds retry_when_full{250};
-    static constexpr milliseconds longest_retry{5000};
-    static constexpr std::size_t most_named = 4;
+    static constexpr milliseconds max_retry_after{5000};
+    static constexpr std::size_t max_named = 4;
 
     awaitable<bool> admit();
     awaitable<void> try_servers();
-    [[nodiscard]] server_request request_to(permitted_server& target) const;
-    awaitable<attempt_end> attempt(permitted_server& target,
-                                   const choice_request& wanted);
-    awaitable<attempt_end> relay(server_exchange& exchange);
-    awaitable<attempt_end> relay_whole(server_exchange& exchange);
-    awaitable<attempt_end> relay_events(server_exchange& exchange);
+    [[nodiscard]] server_request
+    make_server_request(permitted_server& target) const;
+    awaitable<attempt_result> attempt(permitted_server& target,
+                                      const choice_request& wanted);
+    awaitable<attempt_result> relay(server_exchange& exchange);
+    awaitable<attempt_result> relay_body(server_exchange& exchange);
+    awaitable<attempt_result> relay_event_stream(server_exchange& exchange);
     awaitable<bool> forward_events(event_splitter& splitter,
-                                   const response_head& head, bool& is_sound);
+                                   const response_head& head,
+                                   bool& is_in_order);
     awaitable<bool> send_piece(const response_head& head,
                                std::string_view bytes);
     [[nodiscard]] std::optional<milliseconds>
-    hopeless_for(const server_entry& server,
-                 const choice_request& wanted) const;
+    retry_delay_if_too_late(const server_entry& server,
+                            const choice_request& wanted) const;
     void refund_quota();
-    bool may_try_again(attempt_end end);
-    awaitable<void> give_up(attempt_end end);
-    awaitable<void> refuse_unserved(attempt_end end);
-    awaitable<void> refuse(int status, std::string_view reason,
+    bool can_retry(attempt_result result);
+    awaitable<void> finish_failed(attempt_result result);
+    awaitable<void> reject_unserved(attempt_result result);
+    awaitable<void> reject(int status, std::string_view reason,
                            std::optional<milliseconds> retry_after);
     awaitable<void> fail(int status, std::string_view reason);
-    awaitable<void> answer_own(const log_event& event, int status,
-                               std::string_view reason,
-                               std::optional<milliseconds> retry_after);
-    [[nodiscard]] std::string bytes_for(const server_entry& server) const;
-    [[nodiscard]] bool is_too_late_to_begin() const;
+    awaitable<void>
+    send_local_response(const log_event& event, int status,
+                        std::string_view reason,
+                        std::optional<milliseconds> retry_after);
+    [[nodiscard]] std::string
+    serialized_request(const server_entry& server) const;
+    [[nodiscard]] bool is_past_stop_window() const;
     [[nodiscard]] milliseconds time_left() const;
     [[nodiscard]] milliseconds elapsed() const;
-    void count_work();
-    void learn_reading(const server_entry& server, const response_head& head,
-                       monotonic::duration time);
-    void learn_generating(std::int64_t events, monotonic::duration time);
-    choice_request next_choice();
+    void record_demand();
+    void record_prefill_time(const server_entry& server,
+                             const response_head& head,
+                             monotonic::duration time);
+    void record_generation_time(std::int64_t events, monotonic::duration time);
+    choice_request make_choice_request();
     const server_entry* choose_server(choice_request& wanted);
     awaitable<std::optional<permitted_server>>
-    choose_permitted(choice_request& wanted);
+    choose_permitted_server(choice_request& wanted);
     [[nodiscard]] request_content content() const;
-    void recognise();
-    [[nodiscard]] bool must_wait(const request_fingerprint& print) const;
-    awaitable<void> hold_until_told();
-    awaitable<bool> is_stopped_as_poison();
+    void identify_suspect();
+    [[nodiscard]] bool must_wait(const request_fingerprint& fingerprint) const;
+    awaitable<void> wait_for_peer_reports();
+    awaitable<bool> reject_if_poison();
     void mark_suspect(choice_request& wanted);
-    void note_attempt(const server_entry& server, attempt_end end,
-                      monotonic::time_point began);
-    void note_open(const server_entry& server, attempt_end end,
-                   monotonic::time_point began);
-    void note_first(const response_head& head, monotonic::duration time);
-    void note_version(const server_entry& server, attempt_end end,
-                      monotonic::duration time);
-    void count_begun();
-    void log_attempt(const server_entry& server, attempt_end end) const;
-    void log_end(std::string_view outcome);
-    void count_end(std::string_view outcome);
+    void record_attempt(const server_entry& server, attempt_result result,
+                        monotonic::time_point started);
+    void record_unfinished_attempt(const server_entry& server,
+                                   attempt_result result,
+                                   monotonic::time_point started);
+    void record_first_event(const response_head& head,
+                            monotonic::duration time);
+    void record_version_result(const server_entry& server,
+                               attempt_result result, monotonic::duration time);
+    void count_usage();
+    void log_attempt(const server_entry& server, attempt_result result) const;
+    void log_outcome(std::string_view outcome);
+    void count_outcome(std::string_view outcome);
 
     gateway_state& m_state;
-    client_answer& m_answer;
+    client_response& m_response;
     client_request m_request;
     request_facts m_facts;
     std::shared_ptr<const route_table> m_routes;
@@ -135,26 +144,26 @@
     const ingress_service* m_service = nullptr;
     monotonic::time_point m_deadline{};
     double m_quota_cost = 0;
-    std::string m_quota_verdict; ///< how it was found, for logs
-    bool m_was_counted = false;
-    bool m_was_sent = false; ///< in the last attempt, to the server
+    std::string m_quota_verdict; ///< how the verdict was reached, for logs
+    bool m_is_usage_counted = false;
+    bool m_was_sent = false; ///< whether the last attempt sent anything
     std::string m_server_hall;
     bool m_is_cancelled = false;
     bool m_may_have_run = false;
-    int m_attempts = 0;             ///< that have reached a server
+    int m_attempts = 0;             ///< attempts that have reached an upstream
     expected_work m_work;           ///< of the last attempt
     double m_expected_first_ms = 0; ///< of the last attempt, at an engine
     response_sample m_seen;         ///< of the last attempt
     int m_failed_connects = 0;
     absl::flat_hash_set<upstream_id> m_tried;
-    /// Servers without room within their limits, for the log.
-    name_batch m_passed_over{most_named};
+    /// Upstreams passed over because their limits are used up, for the log.
+    name_batch m_passed_over{max_named};
     absl::flat_hash_set<hall_id> m_broken_halls;
     std::optional<std::int64_t> m_last_event;
-    std::optional<std::int64_t> m_weights;
+    std::optional<std::int64_t> m_weights_version;
     server_exchange* m_exchange = nullptr;
-    std::optional<std::pair<response_head, std::string>> m_error_answer;
-    /// Known of only if it may end servers.
+    std::optional<std::pair<response_head, std::string>> m_error_response;
+    /// Set only if the request is suspected of crashing upstreams.
     std::optional<suspect_request> m_suspect;
 };
 
--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -1,5 +1,5 @@
-// How a request's flow treats requests that may end servers. The steps are
-// those of docs/design/poison.md, "What is done".
+// Handling of queries of death: requests that may crash upstreams. The steps
+// are those of docs/design/poison.md, "What is done".
 #include "request_flow.hpp"
 
 #include <base/http_status.hpp>
@@ -10,13 +10,13 @@
 namespace
 {
 
-// Until the one that is on its way has shown what it does: the longest
-// objective of a first event in use is 1.2 s.
+// Retry-After of a suspected request, for the attempt in flight to show its
+// effect. The longest objective in use for a first event is 1.2 s.
 constexpr milliseconds retry_when_suspected{1000};
-// In which other hosts' words have come, and the tick in which they are read.
-constexpr milliseconds hold_time{300};
-// Whoever has less time than so many holds is told at once to come back.
-constexpr int least_holds_left = 3;
+// Covers the arrival of other hosts' reports and the tick that processes them.
+constexpr milliseconds report_wait{300};
+// A request with less time left than this many waits is rejected at once.
+constexpr int min_waits_left = 3;
 
 } // namespace
 
@@ -28,8 +28,9 @@
             m_request.head.method, m_request.head.target, m_request.body};
 }
 
-// Step 1: most requests are alike to none that is known, which is cheap to see.
-void request_flow::recognise()
+// Step 1: looks the request up among the suspected ones. The shape, which is
+// cheap to compute, rules out most requests before the fingerprint is computed.
+void request_flow::identify_suspect()
 {
     if (m_suspect || m_state.poison.size() == 0)
     {
@@ -40,87 +41,92 @@
     {
         return;
     }
-    const auto print = fingerprint_of(content());
-    if (m_state.poison.find(print) != nullptr)
+    const auto fingerprint = fingerprint_of(content());
+    if (m_state.poison.find(fingerprint) != nullptr)
     {
-        m_suspect = suspect_request{print, shape, m_service->name};
+        m_suspect = suspect_request{fingerprint, shape, m_service->name};
     }
 }
 
-// Whether it has ended several servers and another one is on its way.
-bool request_flow::must_wait(const request_fingerprint& print) const
+// Whether the request must not be sent now: other hosts' reports of its last
+// crash are outstanding, or the evidence allows one attempt at a time and one
+// is in flight.
+bool request_flow::must_wait(const request_fingerprint& fingerprint) const
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
     const auto now = gateway_state::now();
-    const bool is_alone = !m_state.suspects.has(print);
-    return m_state.poison.must_wait(print, servers, now) ||
-           (!is_alone && m_state.poison.is_serialized(print, servers, now));
+    const bool is_only_attempt = !m_state.suspects.has(fingerprint);
+    return m_state.poison.must_wait(fingerprint, servers, now) ||
+           (!is_only_attempt &&
+            m_state.poison.is_serialized(fingerprint, servers, now));
 }
 
-// What other hosts saw of its last end is there in a moment: most that wait for
-// it are innocent, and a refusal would cost them a second.
-awaitable<void> request_flow::hold_until_told()
+// Waits briefly for other hosts' reports of the request's last crash. Most
+// requests that wait here are innocent, and a rejection costs them a second.
+awaitable<void> request_flow::wait_for_peer_reports()
 {
     const auto servers = m_state.servers.usable(m_service->name).size();
-    const auto judged = m_state.poison.judge(m_suspect->fingerprint, servers,
-                                             gateway_state::now());
-    const bool has_time = time_left() > hold_time * least_holds_left;
-    if (judged != suspicion::suspect || !must_wait(m_suspect->fingerprint) ||
+    const auto level = m_state.poison.judge(m_suspect->fingerprint, servers,
+                                            gateway_state::now());
+    const bool has_time = time_left() > report_wait * min_waits_left;
+    if (level != suspicion::suspect || !must_wait(m_suspect->fingerprint) ||
         !has_time)
     {
         co_return;
     }
-    boot_timer timer(m_state.context, hold_time);
+    boot_timer timer(m_state.context, report_wait);
     co_await timer.async_wait(use_result);
 }
 
-// Step 2: what is proved is refused at once, but for the one host that tries it
-// again; of what is suspected one at a time is sent.
-// @return whether the request has its final answer
-awaitable<bool> request_flow::is_stopped_as_poison()
+// Step 2: rejects confirmed requests at once, except where this host is the one
+// that may send it again as a probe. Suspected requests are sent one at a time.
+// @return whether the request has its final response
+awaitable<bool> request_flow::reject_if_poison()
 {
     if (!m_suspect)
     {
         co_return false;
     }
-    co_await hold_until_told();
+    co_await wait_for_peer_reports();
     if (m_is_cancelled)
     {
-        // The attempt that follows sends nothing.
+        // A cancelled request's next attempt sends nothing.
         co_return false;
     }
     const auto now = gateway_state::now();
-    const auto& print = m_suspect->fingerprint;
+    const auto& fingerprint = m_suspect->fingerprint;
     const auto servers = m_state.servers.usable(m_service->name).size();
-    const auto judged = m_state.poison.judge(print, servers, now);
-    const bool is_proved = judged == suspicion::confirmed;
-    const bool may_go =
-        is_proved ? m_state.poison.acquire_probe(print, m_state.self, now)
-                  : !must_wait(print);
+    const auto level = m_state.poison.judge(fingerprint, servers, now);
+    const bool is_confirmed = level == suspicion::confirmed;
+    const bool is_allowed =
+        is_confirmed
+            ? m_state.poison.acquire_probe(fingerprint, m_state.self, now)
+            : !must_wait(fingerprint);
     if (m_state.poison.has_unsent())
     {
         m_state.poison_news.notify();
     }
-    if (may_go)
+    if (is_allowed)
     {
         co_return false;
     }
-    if (m_may_have_run || m_answer.has_begun())
+    if (m_may_have_run || m_response.has_begun())
     {
-        co_await give_up(attempt_end::broken);
+        co_await finish_failed(attempt_result::broken);
         co_return true;
     }
     refund_quota();
-    const auto wait = is_proved ? absl::ToChronoMilliseconds(
-                                      m_state.poison.time_to_probe(print, now))
-                                : retry_when_suspected;
-    co_await refuse(http_status::unavailable,
-                    is_proved ? "ends_servers" : "may_end_servers",
+    const auto wait = is_confirmed
+                          ? absl::ToChronoMilliseconds(
+                                m_state.poison.time_to_probe(fingerprint, now))
+                          : retry_when_suspected;
+    co_await reject(http_status::unavailable,
+                    is_confirmed ? "ends_servers" : "may_end_servers",
                     std::max(wait, retry_when_suspected));
     co_return true;
 }
 
-// Step 3: its next server is one where it harms least.
+// Step 3: lets the choice prefer upstreams where a crash does least harm.
 void request_flow::mark_suspect(choice_request& wanted)
 {
     if (m_suspect)
@@ -130,48 +136,55 @@
     }
 }
 
-// Step 4: evidence for it, or against.
-void request_flow::note_attempt(const server_entry& server, attempt_end end,
-                                monotonic::time_point began)
+// Step 4: records the result of an attempt as evidence for or against the
+// request.
+void request_flow::record_attempt(const server_entry& server,
+                                  attempt_result result,
+                                  monotonic::time_point started)
 {
-    if (end != attempt_end::answered)
+    if (result != attempt_result::answered)
     {
-        note_open(server, end, began);
+        record_unfinished_attempt(server, result, started);
         return;
     }
-    const completed_response given{{server.id, server.started_at},
-                                   m_state.self};
+    const completed_response evidence{{server.id, server.started_at},
+                                      m_state.self};
     const auto now = gateway_state::now();
     if (m_suspect)
     {
-        m_state.poison.record_response(m_suspect->fingerprint, given, now);
+        m_state.poison.record_response(m_suspect->fingerprint, evidence, now);
         m_state.poison_news.notify();
     }
     else
     {
-        m_state.poison.record_shape_response(shape_of(content()), given, now);
+        m_state.poison.record_shape_response(shape_of(content()), evidence,
+                                             now);
     }
 }
 
-// It is evidence if the server ends; whether that shows at once, or only when
-// another request comes there, does not hang on who waits for this one.
-void request_flow::note_open(const server_entry& server, attempt_end end,
-                             monotonic::time_point began)
+// Records an attempt without a response: it becomes evidence if the upstream
+// crashes. The crash can show later than this attempt, on another request to
+// the same upstream, whether or not a client still waits for this one.
+void request_flow::record_unfinished_attempt(const server_entry& server,
+                                             attempt_result result,
+                                             monotonic::time_point started)
 {
-    const bool is_broken = end == attempt_end::broken;
-    const bool is_open =
-        is_broken || end == attempt_end::abandoned || end == attempt_end::late;
-    if (!is_open || !m_was_sent)
+    const bool is_broken = result == attempt_result::broken;
+    const bool is_unfinished = is_broken ||
+                               result == attempt_result::abandoned ||
+                               result == attempt_result::late;
+    if (!is_unfinished || !m_was_sent)
     {
         return;
     }
     const auto request = m_suspect.value_or(suspect_request{
         fingerprint_of(content()), shape_of(content()), m_service->name});
-    m_state.ends.note_open(server, request, gateway_state::to_time(began));
+    m_state.crashes.record_unfinished_attempt(server, request,
+                                              gateway_state::to_time(started));
     if (is_broken)
     {
         m_suspect = request;
-        m_state.ends.ask_soon(server, end_sign::broken);
+        m_state.crashes.start_probe(server, crash_sign::broken);
     }
 }
 
--- a/services/gateway/small_server.hpp
+++ b/services/gateway/simple_http_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Answers short questions: readiness, metrics, records for peers.
+/// HTTP server for internal endpoints: readiness, metrics, records for peers.
 #pragma once
 
 #include "byte_channel.hpp"
@@ -10,8 +10,8 @@
 namespace daleshelf
 {
 
-/// Answer to a short question.
-struct short_answer
+/// Response of an internal endpoint.
+struct simple_response
 {
     int status = 0;
     std::string body;
@@ -19,21 +19,22 @@
 };
 
 /// Opens an acceptor on an address.
+/// @throws std::invalid_argument if the address is not IP:PORT
 /// @throws boost::system::system_error if the address cannot be used
 [[nodiscard]] asio::ip::tcp::acceptor open_acceptor(asio::io_context& context,
                                                     const std::string& address);
 
-/// Serves GET requests by a function of their target.
-class small_server
+/// Serves requests with a handler that maps their target to a response.
+class simple_http_server
 {
 public:
-    using handler = std::function<short_answer(const std::string& target)>;
+    using handler = std::function<simple_response(const std::string& target)>;
 
     /// @param address IP:PORT
-    small_server(asio::io_context& context, const std::string& address,
-                 handler answer);
+    simple_http_server(asio::io_context& context, const std::string& address,
+                       handler handle_request);
 
-    /// Begins to accept connections.
+    /// Starts accepting connections.
     void start();
 
 private:
@@ -41,7 +42,7 @@
     awaitable<void> serve(asio::ip::tcp::socket socket);
 
     asio::ip::tcp::acceptor m_acceptor;
-    handler m_answer;
+    handler m_handler;
 };
 
 } // namespace daleshelf
--- a/services/gateway/topic_sharing.cpp
+++ b/services/gateway/topic_sharing.cpp
@@ -227,7 +227,7 @@
         asio::detached);
 }
 
-short_answer topic_sharing::respond(const std::string& target)
+simple_response topic_sharing::respond(const std::string& target)
 {
     if (!target.starts_with(records_target))
     {
--- a/services/gateway/topic_sharing.hpp
+++ b/services/gateway/topic_sharing.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "gateway_state.hpp"
-#include "small_server.hpp"
+#include "simple_http_server.hpp"
 #include "topic_follower.hpp"
 
 #include <functional>
@@ -55,7 +55,7 @@
 
     /// @param target target of a peer's request, with the name of a topic
     /// @return the response: all records known of the topic, or status 404
-    [[nodiscard]] short_answer respond(const std::string& target);
+    [[nodiscard]] simple_response respond(const std::string& target);
 
 private:
     /// How long a peer must have known newer records before they are fetched
--- a/tests/gateway/byte_channel_test.cpp
+++ b/tests/gateway/byte_channel_test.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// Both ends of a connection, on one event loop that runs by hand.
+// Both sides of a connection, on one manually run event loop.
 class byte_channel_test : public testing::Test
 {
 protected:
@@ -26,8 +26,8 @@
         m_context.poll();
     }
 
-    // Starts the channel and closes it after `steps` of the loop.
-    // @return the input at that moment
+    // Starts the channel and closes it after `steps` steps of the event loop.
+    // @return the input at the time of the close
     std::string close_after(int steps)
     {
         auto input = std::make_shared<std::string>();
@@ -57,7 +57,7 @@
     std::shared_ptr<byte_channel> m_channel;
 };
 
-TEST_F(byte_channel_test, takes_what_comes)
+TEST_F(byte_channel_test, reads_input)
 {
     asio::write(m_peer, asio::buffer(std::string("abc")));
     m_channel->start();
@@ -65,8 +65,8 @@
     EXPECT_EQ(m_channel->input(), "abc");
 }
 
-// The peer never reads; without a limit the write would never end.
-TEST_F(byte_channel_test, a_write_that_nobody_takes_is_given_up)
+// The peer never reads: without a deadline the write would block for ever.
+TEST_F(byte_channel_test, a_blocked_write_is_aborted_at_its_deadline)
 {
     const std::string bytes(std::size_t{64} << 20, 'a');
     byte_channel::write_result result;
@@ -84,22 +84,22 @@
     EXPECT_FALSE(result.is_complete);
     EXPECT_GT(result.size, 0U);
     EXPECT_LT(result.size, bytes.size());
-    EXPECT_EQ(m_channel->end(), channel_end::broken);
+    EXPECT_EQ(m_channel->connection_state(), channel_state::broken);
 }
 
-// Bytes that are there before the channel starts are taken from the socket one
-// step before the channel is told: which step that is, is the loop's affair.
+// Bytes are read from the socket one step of the event loop before the read
+// completes. Which step that is depends on the loop, so several are tested.
 class closing_channel_test : public byte_channel_test,
                              public testing::WithParamInterface<int>
 {
 };
 
-TEST_P(closing_channel_test, takes_nothing_once_it_is_closed)
+TEST_P(closing_channel_test, reads_nothing_after_close)
 {
     asio::write(m_peer, asio::buffer(std::string("a request")));
     const auto before = close_after(GetParam());
     EXPECT_EQ(m_channel->input(), before);
-    EXPECT_EQ(m_channel->end(), channel_end::broken);
+    EXPECT_EQ(m_channel->connection_state(), channel_state::broken);
 }
 
 INSTANTIATE_TEST_SUITE_P(steps, closing_channel_test, testing::Range(0, 6));
--- a/tests/gateway/server_ends_test.cpp
+++ b/tests/gateway/crash_detector_test.cpp
@@ -1,9 +1,9 @@
-// A request that ends servers was sent on and on: its callers had left, 20 to
-// 55 ms after they had asked, before the server under it ended. Seven servers
-// ended; the hosts noted three ends, and of the other four nothing (no
-// `upstream_failed`, no `upstream_ended`, only `request_ended
-// outcome=client_left`): only an attempt that broke was evidence, and one whose
-// caller leaves is closed by the host itself before its server ends.
+// Guards against a query of death that stays undetected because its clients
+// disconnect before the upstream crashes. The gateway closes such an attempt
+// itself, so that its connection does not break (no `upstream_failed`, no
+// `upstream_ended`, only `request_ended outcome=client_left`). Such requests,
+// left after 20 to 55 ms, crashed seven upstreams, of which the hosts recorded
+// three.
 #include "gateway_fixture.hpp"
 
 #include <base/text.hpp>
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// Takes requests that it never answers, and says what becomes of the first.
+/// Never responds, and reports when the first request is read and aborted.
 class silent_server
 {
 public:
@@ -23,7 +23,7 @@
               [this](test_connection& connection)
               {
                   connection.read_message();
-                  const bool is_first = !m_has_read.exchange(true);
+                  const bool is_first = !m_has_request.exchange(true);
                   if (is_first)
                   {
                       m_read.set_value();
@@ -31,7 +31,7 @@
                   connection.read_all();
                   if (is_first)
                   {
-                      m_left.set_value();
+                      m_disconnected.set_value();
                   }
               })
     {
@@ -42,9 +42,9 @@
         m_read.get_future().wait();
     }
 
-    void wait_until_left()
+    void wait_until_disconnected()
     {
-        m_left.get_future().wait();
+        m_disconnected.get_future().wait();
     }
 
     scripted_server& server()
@@ -53,16 +53,16 @@
     }
 
 private:
-    std::atomic<bool> m_has_read = false;
+    std::atomic<bool> m_has_request = false;
     std::promise<void> m_read;
-    std::promise<void> m_left;
-    scripted_server m_server; // ends first: its threads use the others
+    std::promise<void> m_disconnected;
+    scripted_server m_server; // destroyed first: its threads use the others
 };
 
-class server_ends : public gateway_fixture
+class crash_detector : public gateway_fixture
 {
 protected:
-    server_ends()
+    crash_detector()
     {
         configure();
     }
@@ -84,30 +84,31 @@
         return is_known;
     }
 
-    /// Asks, and leaves once the server has read the request.
-    void ask_and_leave(const std::string& path, silent_server& server)
+    /// Sends a request, and disconnects once the upstream has read it.
+    void request_and_disconnect(const std::string& path, silent_server& server)
     {
         const auto client = connect();
         client->send(request_for(path));
         server.wait_until_read();
         client->close();
-        server.wait_until_left();
+        server.wait_until_disconnected();
     }
 };
 
-TEST_F(server_ends, a_request_whose_caller_left_before_the_end_is_suspected)
+TEST_F(crash_detector,
+       a_request_whose_client_left_before_the_crash_is_suspected)
 {
     silent_server server;
     add_server("a", server.server());
-    ask_and_leave("/unsafe/deadly", server);
+    request_and_disconnect("/unsafe/deadly", server);
     EXPECT_FALSE(is_suspected("/unsafe/deadly"));
-    server.server().end();
-    EXPECT_TRUE(ask("/unsafe/other").starts_with("HTTP/1.1 503 "));
+    server.server().crash();
+    EXPECT_TRUE(fetch("/unsafe/other").starts_with("HTTP/1.1 503 "));
     EXPECT_TRUE(is_suspected("/unsafe/deadly"));
     EXPECT_FALSE(is_suspected("/unsafe/other")) << "it has never run";
 }
 
-TEST_F(server_ends, a_request_whose_time_was_over_is_suspected)
+TEST_F(crash_detector, a_request_whose_time_was_over_is_suspected)
 {
     silent_server server;
     add_server("a", server.server());
@@ -115,79 +116,82 @@
     client->send("GET /unsafe/deadly HTTP/1.1\r\nHost: h\r\n"
                  "X-Attempt-Id: 1\r\nX-Deadline-Ms: 100\r\n\r\n");
     EXPECT_TRUE(client->read_message().starts_with("HTTP/1.1 504 "));
-    server.wait_until_left();
-    server.server().end();
-    EXPECT_TRUE(ask("/unsafe/other").starts_with("HTTP/1.1 503 "));
+    server.wait_until_disconnected();
+    server.server().crash();
+    EXPECT_TRUE(fetch("/unsafe/other").starts_with("HTTP/1.1 503 "));
     EXPECT_TRUE(is_suspected("/unsafe/deadly"));
 }
 
-// Nobody else asks for anything there: what shows the end is a connection that
-// is kept for the next request.
-TEST_F(server_ends, a_kept_connection_that_ends_shows_it)
+// Without further requests to the upstream, only the close of an idle pooled
+// connection reveals the crash.
+TEST_F(crash_detector, a_closed_idle_connection_reveals_the_crash)
 {
     std::promise<void> read;
-    std::promise<void> left;
+    std::promise<void> disconnected;
     scripted_server server(
         [&](test_connection& connection)
         {
             const auto first = connection.read_message();
             if (!first.starts_with("GET /unsafe/deadly "))
             {
-                connection.send(plain_answer(id_of(first), "good"));
+                connection.send(make_response(id_of(first), "good"));
                 connection.read_all();
                 return;
             }
             read.set_value();
             connection.read_all();
-            left.set_value();
+            disconnected.set_value();
         });
     add_server("a", server);
     const auto client = connect();
     client->send(request_for("/unsafe/deadly"));
     read.get_future().wait();
-    EXPECT_TRUE(ask("/unsafe/other").ends_with("good"));
+    EXPECT_TRUE(fetch("/unsafe/other").ends_with("good"));
     client->close();
-    left.get_future().wait();
-    server.end();
+    disconnected.get_future().wait();
+    server.crash();
     while (!is_suspected("/unsafe/deadly"))
     {
     }
-    EXPECT_FALSE(is_suspected("/unsafe/other")) << "it was answered";
+    EXPECT_FALSE(is_suspected("/unsafe/other")) << "it got its response";
 }
 
-// At a server that nobody else uses nothing shows the end: where a request is
-// suspected already, the host asks by itself, and sends it nowhere else before.
-TEST_F(server_ends, a_suspect_that_was_let_go_is_under_way_until_its_end_shows)
+// Nothing reveals the crash of an upstream without other traffic. For a request
+// that is suspected already the host probes the port, and sends it nowhere else
+// before the result.
+TEST_F(crash_detector,
+       an_aborted_suspect_is_in_flight_until_its_crash_is_detected)
 {
     const auto path = "/unsafe/deadly";
-    const auto print = fingerprint_of(content_of(path));
+    const auto fingerprint = fingerprint_of(content_of(path));
     const server_incarnation elsewhere{upstream_id("z"), {}};
     on_loop(
         [&]
         {
             const auto now = gateway_state::now();
             m_state.poison.record_crash(
-                {print, shape_of(content_of(path)), service_name("service")},
+                {fingerprint, shape_of(content_of(path)),
+                 service_name("service")},
                 elsewhere, absl::Seconds(1), now - absl::Seconds(1));
         });
     silent_server server;
     add_server("a", server.server());
-    ask_and_leave(path, server);
-    server.server().end();
-    bool is_under_way = false;
-    on_loop([&] { is_under_way = m_state.suspects.has(print); });
-    EXPECT_TRUE(is_under_way);
-    std::size_t ends = 1;
-    while (is_under_way)
+    request_and_disconnect(path, server);
+    server.server().crash();
+    bool is_in_flight = false;
+    on_loop([&] { is_in_flight = m_state.suspects.has(fingerprint); });
+    EXPECT_TRUE(is_in_flight);
+    std::size_t crashes = 1;
+    while (is_in_flight)
     {
         on_loop(
             [&]
             {
-                is_under_way = m_state.suspects.has(print);
-                ends = m_state.poison.find(print)->crashes.size();
+                is_in_flight = m_state.suspects.has(fingerprint);
+                crashes = m_state.poison.find(fingerprint)->crashes.size();
             });
     }
-    EXPECT_EQ(ends, 2);
+    EXPECT_EQ(crashes, 2);
 }
 
 } // namespace
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -87,9 +87,9 @@
     }
     auto message = m_input.substr(0, size);
     m_input.erase(0, message.size());
-    if (m_messages != nullptr && !message.empty())
+    if (m_message_counter != nullptr && !message.empty())
     {
-        ++*m_messages;
+        ++*m_message_counter;
     }
     return message;
 }
@@ -136,33 +136,33 @@
     , m_acceptor(m_context, {asio::ip::make_address("127.0.0.1"), 0})
     , m_address(concat("127.0.0.1:",
                        static_cast<int>(m_acceptor.local_endpoint().port())))
-    , m_accepting([this] { accept_all(); })
+    , m_acceptor_thread([this] { accept_all(); })
 {
 }
 
 scripted_server::~scripted_server()
 {
-    end();
+    crash();
     for (auto& thread : m_threads)
     {
         thread.join();
     }
 }
 
-void scripted_server::end()
+void scripted_server::crash()
 {
     if (m_is_stopping.exchange(true))
     {
         return;
     }
-    // A connection of its own ends the wait for the next one.
+    // A connection to itself unblocks the pending accept.
     error_code ignored;
     asio::ip::tcp::socket last(m_context);
     last.connect(m_acceptor.local_endpoint(), ignored);
-    m_accepting.join();
+    m_acceptor_thread.join();
     m_acceptor.close(ignored);
     const std::lock_guard lock(m_mutex);
-    for (const auto& connection : m_open)
+    for (const auto& connection : m_connections)
     {
         connection->stop_reading();
     }
@@ -179,13 +179,13 @@
         {
             return;
         }
-        ++m_count;
+        ++m_connection_count;
         const auto connection =
             std::make_shared<test_connection>(std::move(*socket));
-        connection->count_into(m_requests);
+        connection->set_message_counter(m_request_count);
         {
             const std::lock_guard lock(m_mutex);
-            m_open.push_back(connection);
+            m_connections.push_back(connection);
         }
         m_threads.emplace_back(
             [this, connection]
@@ -296,7 +296,8 @@
     return std::make_unique<test_connection>(std::move(socket));
 }
 
-std::string gateway_fixture::ask(const std::string& path, const std::string& id)
+std::string gateway_fixture::fetch(const std::string& path,
+                                   const std::string& id)
 {
     const auto client = connect();
     client->send(request_for(path, id));
@@ -327,8 +328,8 @@
     }
 }
 
-std::string plain_answer(const std::string& id, const std::string& body,
-                         int status)
+std::string make_response(const std::string& id, const std::string& body,
+                          int status)
 {
     return concat("HTTP/1.1 ", status, " Any\r\nX-Attempt-Id: ", id,
                   "\r\nX-Server-Seal: seal\r\nContent-Length: ", body.size(),
--- a/tests/gateway/poison_path_test.cpp
+++ b/tests/gateway/poison_path_test.cpp
@@ -1,6 +1,7 @@
-// One content, sent again and again by its callers, ended 21 servers within 9
-// s: each try of it went to the next server, and what else ran there was broken
-// off with it (`upstream_failed end=broken` of 4 to 11 requests at each end).
+// Guards against a query of death that crashes one upstream after the other:
+// its clients send it again, and each attempt goes to the next upstream. One
+// such request crashed 21 upstreams within 9 s; each crash broke 4 to 11
+// further requests (`upstream_failed end=broken`).
 #include "gateway_fixture.hpp"
 
 #include <base/text.hpp>
@@ -10,11 +11,11 @@
 namespace
 {
 
-/// A server that ends when it has read a request.
-class ending_server
+/// An upstream that crashes when it has read a request.
+class crashing_server
 {
 public:
-    ending_server()
+    crashing_server()
         : m_acceptor(m_context, {asio::ip::make_address("127.0.0.1"), 0})
         , m_address(
               concat("127.0.0.1:",
@@ -23,10 +24,10 @@
     {
     }
 
-    ~ending_server()
+    ~crashing_server()
     {
         {
-            // A connection of its own ends the wait for the next one.
+            // A connection to itself unblocks the pending accept.
             error_code ignored;
             asio::ip::tcp::socket last(m_context);
             last.connect(*parse_endpoint(m_address), ignored);
@@ -34,8 +35,8 @@
         m_thread.join();
     }
 
-    ending_server(const ending_server&) = delete;
-    ending_server& operator=(const ending_server&) = delete;
+    crashing_server(const crashing_server&) = delete;
+    crashing_server& operator=(const crashing_server&) = delete;
 
     [[nodiscard]] server_entry entry(const std::string& id) const
     {
@@ -69,7 +70,7 @@
 {
 protected:
     poison_path()
-        : m_sound(
+        : m_healthy(
               [](test_connection& connection)
               {
                   while (true)
@@ -79,33 +80,33 @@
                       {
                           return;
                       }
-                      connection.send(plain_answer(id_of(request), "good"));
+                      connection.send(make_response(id_of(request), "good"));
                   }
               })
     {
         configure();
     }
 
-    void list(const ending_server& server, const std::string& id)
+    void list(const crashing_server& server, const std::string& id)
     {
         on_loop([&] { m_state.servers.set(server.entry(id)); });
     }
 
-    /// Notes what another host has told: a server ended under the request a
+    /// Merges a peer's report that an upstream crashed under the request a
     /// second ago.
-    void hear_of_an_end(const suspect_request& suspect)
+    void merge_peer_crash(const suspect_request& suspect)
     {
         on_loop(
             [&]
             {
                 const auto now = gateway_state::now();
-                poison_record told;
-                told.fingerprint = suspect.fingerprint;
-                told.shape = suspect.shape;
-                told.service = suspect.service;
-                told.crashes[{upstream_id("z"), {}}] = {now - absl::Seconds(1),
-                                                        absl::Seconds(1)};
-                m_state.poison.merge(told, now);
+                poison_record peer_record;
+                peer_record.fingerprint = suspect.fingerprint;
+                peer_record.shape = suspect.shape;
+                peer_record.service = suspect.service;
+                peer_record.crashes[{upstream_id("z"), {}}] = {
+                    now - absl::Seconds(1), absl::Seconds(1)};
+                m_state.poison.merge(peer_record, now);
             });
     }
 
@@ -127,8 +128,8 @@
     void merge_other_crashes_later()
     {
         constexpr milliseconds report_delay{100};
-        m_later.expires_after(report_delay);
-        m_later.async_wait(
+        m_report_timer.expires_after(report_delay);
+        m_report_timer.async_wait(
             [this](const error_code&)
             {
                 const suspect_request other{request_fingerprint("other"), 1,
@@ -140,53 +141,53 @@
             });
     }
 
-    void wait_until_proved(const request_fingerprint& print)
+    void wait_until_confirmed(const request_fingerprint& fingerprint)
     {
-        auto judged = suspicion::none;
-        while (judged != suspicion::confirmed)
+        auto level = suspicion::none;
+        while (level != suspicion::confirmed)
         {
             on_loop(
                 [&] {
-                    judged =
-                        m_state.poison.judge(print, 3, gateway_state::now());
+                    level = m_state.poison.judge(fingerprint, 3,
+                                                 gateway_state::now());
                 });
         }
     }
 
-    scripted_server m_sound;
-    boot_timer m_later{m_context};
+    scripted_server m_healthy;
+    boot_timer m_report_timer{m_context};
 };
 
-TEST_F(poison_path, a_request_that_has_ended_two_servers_is_refused)
+TEST_F(poison_path, a_request_that_crashed_two_servers_is_rejected)
 {
     const request_content content{{}, "h", "GET", "/unsafe/deadly", ""};
     const suspect_request suspect{fingerprint_of(content), shape_of(content),
                                   service_name("service")};
-    hear_of_an_end(suspect);
-    const ending_server ending;
-    list(ending, "a");
-    EXPECT_TRUE(ask("/unsafe/deadly").starts_with("HTTP/1.1 502 "));
-    wait_until_proved(suspect.fingerprint);
-    add_server("c", m_sound);
-    const auto answer = ask("/unsafe/deadly");
-    EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
-    const auto at = answer.find("Retry-After: ");
-    ASSERT_NE(at, std::string::npos) << answer;
-    EXPECT_GT(std::stod(answer.substr(at + 13)), 60)
-        << "when it is tried again";
-    EXPECT_EQ(m_sound.requests(), 0);
+    merge_peer_crash(suspect);
+    const crashing_server crashing;
+    list(crashing, "a");
+    EXPECT_TRUE(fetch("/unsafe/deadly").starts_with("HTTP/1.1 502 "));
+    wait_until_confirmed(suspect.fingerprint);
+    add_server("c", m_healthy);
+    const auto response = fetch("/unsafe/deadly");
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
+    const auto at = response.find("Retry-After: ");
+    ASSERT_NE(at, std::string::npos) << response;
+    EXPECT_GT(std::stod(response.substr(at + 13)), 60)
+        << "the time until the next probe";
+    EXPECT_EQ(m_healthy.requests(), 0);
     on_loop([&] { m_state.servers.remove(upstream_id("a")); });
-    EXPECT_TRUE(ask("/unsafe/other").ends_with("good"));
+    EXPECT_TRUE(fetch("/unsafe/other").ends_with("good"));
 }
 
-// The model of the fleet holds such a request as well: rejecting it at once
-// would cost a wrongly suspected caller a back-off.
+// The fleet model holds such a request too: rejecting it at once would cost a
+// wrongly suspected client a back-off.
 TEST_F(poison_path, a_request_is_held_until_its_last_crash_is_settled)
 {
     const request_content content{{}, "h", "GET", "/unsafe/popular", ""};
     const suspect_request suspect{fingerprint_of(content), shape_of(content),
                                   service_name("service")};
-    add_server("c", m_sound);
+    add_server("c", m_healthy);
     on_loop(
         [&]
         {
@@ -196,17 +197,17 @@
                                                  gateway_state::now()));
             merge_other_crashes_later();
         });
-    EXPECT_TRUE(ask("/unsafe/popular").ends_with("good"));
-    EXPECT_EQ(m_sound.requests(), 1);
+    EXPECT_TRUE(fetch("/unsafe/popular").ends_with("good"));
+    EXPECT_EQ(m_healthy.requests(), 1);
 }
 
-TEST_F(poison_path, a_closed_connection_is_no_end_of_a_server)
+TEST_F(poison_path, a_closed_connection_is_no_crash)
 {
     const scripted_server closing([](test_connection& connection)
                                   { connection.read_message(); });
     add_server("a", closing);
-    ask("/unsafe/x");
-    // The check comes as a connection of its own.
+    fetch("/unsafe/x");
+    // The port probe arrives as a separate connection.
     while (closing.connections() < 2)
     {
     }
@@ -216,11 +217,11 @@
     EXPECT_EQ(known, 0);
 }
 
-TEST_F(poison_path, an_end_of_a_server_that_was_to_leave_blames_nobody)
+TEST_F(poison_path, an_exit_of_a_draining_server_is_no_evidence)
 {
     scripted_server leaving([](test_connection&) {});
     add_server("a", leaving);
-    leaving.end();
+    leaving.crash();
     bool is_blamed = true;
     on_loop(
         [&]
@@ -228,13 +229,13 @@
             auto entry = *m_state.servers.find(upstream_id("a"));
             entry.is_draining = true;
             m_state.servers.set(entry);
-            m_state.ends.note_open(
+            m_state.crashes.record_unfinished_attempt(
                 entry, {request_fingerprint("p"), 1, service_name("service")},
                 gateway_state::now() - absl::Seconds(1));
             asio::co_spawn(
                 m_context,
                 [&, entry]
-                { return m_state.ends.ask(entry, end_sign::broken); },
+                { return m_state.crashes.probe(entry, crash_sign::broken); },
                 [&](const std::exception_ptr&)
                 { is_blamed = m_state.poison.size() > 0; });
         });
