--- a/services/gateway/duty_service.cpp
+++ b/services/gateway/duty_service.cpp
@@ -10,36 +10,39 @@
 namespace
 {
 
-constexpr milliseconds tick{200};
-constexpr milliseconds store_time{1200};
-// While a lease is held: two calls without an answer leave the time to release
-// it before it lapses. A store 60 times as slow as usual answers in 240 ms.
-constexpr milliseconds renewal_time{700};
-constexpr milliseconds call_time{800};
-constexpr milliseconds retry_pause{300};
-constexpr milliseconds collect_tick{250};
-// What began within a window is counted, and clocks agree, within this time of
-// its end.
+constexpr milliseconds check_interval{200};
+constexpr milliseconds store_timeout{1200};
+// Timeout while the lease is held: after two calls without a response there is
+// still time to release the lease before it expires. A store that is 60 times
+// slower than usual responds in 240 ms.
+constexpr milliseconds renewal_timeout{700};
+constexpr milliseconds call_timeout{800};
+constexpr milliseconds retry_delay{300};
+constexpr milliseconds collect_interval{250};
+// Within this time after the end of a window, all requests that started in it
+// are counted, and clock differences between hosts are covered.
 constexpr absl::Duration settle_delay = absl::Milliseconds(850);
-// Of the time in which a window is due: after it, whoever has not told its
-// counts is not waited for. The other half is for the log and the call.
-constexpr double collect_part = 0.5;
-// A new holder asks for at least this long; a window's last quarter is kept
-// for the log and the call.
-constexpr absl::Duration least_collect_time = absl::Milliseconds(1500);
-constexpr double last_collect_part = 0.75;
-// A call that was given up may still reach the platform for this long.
-constexpr absl::Duration doubt_time = absl::Seconds(1);
-constexpr std::size_t most_reported = 64;
-// How long neither a reader of the list nor a holder of the lease may be heard.
-constexpr absl::Duration readers_time = absl::Seconds(3);
+// Fraction of the reporting deadline of a window after which hosts that have
+// not sent their counts are not waited for. The other half is for the log and
+// the call.
+constexpr double collect_fraction = 0.5;
+// A new holder requests counts for at least this long, but the last quarter of
+// the reporting deadline is reserved for the log and the call.
+constexpr absl::Duration min_collect_time = absl::Milliseconds(1500);
+constexpr double final_collect_fraction = 0.75;
+// A call that timed out may still reach the platform for this long.
+constexpr absl::Duration unknown_outcome_time = absl::Seconds(1);
+constexpr std::size_t reported_window_limit = 64;
+// Without a message from a reader of the list or the lease holder for this
+// long, all hosts watch the lease.
+constexpr absl::Duration reader_silence_limit = absl::Seconds(3);
 
 } // namespace
 
 duty_service::duty_service(gateway_state& state, peer_exchange& peers)
     : m_state(state)
     , m_peers(peers)
-    , m_ledger(state.self, state.started, duty_options())
+    , m_ledger(state.self, state.own_incarnation, duty_options())
     , m_store(state.context, state.settings.store_address)
     , m_platform(state.context, state.settings.duties_address)
     , m_settled(state.context.get_executor())
@@ -52,64 +55,64 @@
 void duty_service::start()
 {
     asio::co_spawn(
-        m_state.context, [this] { return keep_ledger(); }, asio::detached);
+        m_state.context, [this] { return run_lease(); }, asio::detached);
     asio::co_spawn(
         m_state.context, [this] { return report_usage(); }, asio::detached);
     asio::co_spawn(
         m_state.context, [this] { return collect_counts(); }, asio::detached);
 }
 
-std::optional<std::int64_t> duty_service::token() const
+std::optional<std::int64_t> duty_service::fencing_token() const
 {
-    if (is_leaving())
+    if (is_releasing())
     {
         return std::nullopt;
     }
-    return m_ledger.token(gateway_state::now(), absl::FromChrono(call_time));
+    return m_ledger.token(gateway_state::now(), absl::FromChrono(call_timeout));
 }
 
-// No call is begun any more by a holder that is about to release its lease.
-bool duty_service::is_leaving() const
+// A holder that is about to release its lease starts no further calls.
+bool duty_service::is_releasing() const
 {
     return m_is_stopping ||
            m_ledger.should_release(m_peers.table().store_answered_at(),
                                    gateway_state::now());
 }
 
-awaitable<std::optional<duty_answer>>
-duty_service::call(http_caller& caller, platform::store_call call)
+awaitable<std::optional<duty_response>>
+duty_service::call_as_holder(http_caller& caller, platform::store_call call)
 {
-    const auto holding = token();
-    if (!holding)
+    const auto held_token = fencing_token();
+    if (!held_token)
     {
         co_return std::nullopt;
     }
     std::string extra;
-    platform::write_duty_fields(extra, m_state.self, *holding);
-    ++m_open_calls;
-    const auto answer =
-        co_await caller.call(std::move(call), call_time, std::move(extra));
-    --m_open_calls;
-    if (!answer)
+    platform::write_duty_fields(extra, m_state.self, *held_token);
+    ++m_calls_in_flight;
+    const auto response =
+        co_await caller.call(std::move(call), call_timeout, std::move(extra));
+    --m_calls_in_flight;
+    if (!response)
     {
-        m_unanswered_at = gateway_state::now();
+        m_unanswered_call_at = gateway_state::now();
     }
-    co_return duty_answer{answer ? answer->status : 0, *holding};
+    co_return duty_response{response ? response->status : 0, *held_token};
 }
 
-awaitable<void> duty_service::keep_ledger()
+awaitable<void> duty_service::run_lease()
 {
     boot_timer timer(m_state.context);
     while (true)
     {
         const bool is_holder_heard = m_peers.hears_duty_holder();
-        note_candidacy(is_holder_heard || m_peers.hears_readers());
-        note_releases();
+        update_candidacy(is_holder_heard || m_peers.hears_readers());
+        apply_peer_releases();
         const auto action =
             m_ledger.next_action(is_holder_heard, gateway_state::now());
-        if (const auto* wanted = std::get_if<ledger_read>(&action))
+        if (const auto* pending_read = std::get_if<ledger_read>(&action))
         {
-            co_await read(wanted->from);
+            co_await read_log(pending_read->from);
         }
         else if (const auto* grant = std::get_if<ledger_append>(&action))
         {
@@ -120,32 +123,33 @@
             co_await append(std::move(*settlement));
         }
         release_if_due();
-        note_lease();
-        timer.expires_after(tick +
+        publish_lease();
+        timer.expires_after(check_interval +
                             milliseconds(absl::Uniform(m_state.random, 0, 60)));
         co_await timer.async_wait(use_result);
     }
 }
 
-// The readers of the list come first. If neither they nor a holder is heard for
-// long (all may just be restarting), everybody watches the lease.
-void duty_service::note_candidacy(bool is_watched)
+// The readers of the list are the candidates for the lease. If neither they nor
+// a holder have been heard for `reader_silence_limit` (they may all be
+// restarting), all hosts are.
+void duty_service::update_candidacy(bool is_watched)
 {
     const auto now = gateway_state::now();
-    if (is_watched || m_watched_at == absl::InfinitePast())
+    if (is_watched || m_lease_watched_at == absl::InfinitePast())
     {
-        m_watched_at = now;
+        m_lease_watched_at = now;
     }
     const bool is_watching = m_state.role == list_role::alone ||
                              m_state.role == list_role::reader ||
-                             now - m_watched_at > readers_time;
-    // Of 295 hosts that started together all tried to take the lease, and
-    // read it 3,800 times, before they knew of one another.
+                             now - m_lease_watched_at > reader_silence_limit;
+    // Without the list of hosts, 295 hosts that start together all try to
+    // acquire the lease, and read it 3,800 times, before they know each other.
     m_ledger.set_candidate(m_state.knows_hosts && is_watching);
 }
 
-// What peers have given up need not be waited out.
-void duty_service::note_releases()
+// A lease that its holder has released need not expire first.
+void duty_service::apply_peer_releases()
 {
     for (const auto& [name, peer] : m_peers.table().peers())
     {
@@ -160,8 +164,9 @@
 void duty_service::release_if_due()
 {
     const auto now = gateway_state::now();
-    const bool is_in_doubt = now - m_unanswered_at < doubt_time;
-    if (!is_leaving() || m_open_calls > 0 || is_in_doubt ||
+    const bool has_unknown_outcome =
+        now - m_unanswered_call_at < unknown_outcome_time;
+    if (!is_releasing() || m_calls_in_flight > 0 || has_unknown_outcome ||
         !m_ledger.token(now))
     {
         return;
@@ -172,25 +177,25 @@
                                  {"reason", m_is_stopping ? "stop" : "store"}});
 }
 
-// Asks all machines for the counts of the window that is due.
+// Requests the counts of the due window from all hosts.
 awaitable<void> duty_service::collect_counts()
 {
     boot_timer timer(m_state.context);
     while (true)
     {
-        timer.expires_after(collect_tick);
+        timer.expires_after(collect_interval);
         co_await timer.async_wait(use_result);
         const auto now = gateway_state::now();
         const auto window = due_window();
         if (!window || !m_ledger.token(now))
         {
-            m_collecting.reset();
+            m_requested_window.reset();
             continue;
         }
-        if (m_collecting != window)
+        if (m_requested_window != window)
         {
-            m_collecting = window;
-            m_collecting_since = now;
+            m_requested_window = window;
+            m_collection_started_at = now;
             m_collection.begin(*window);
         }
         if (m_collection.is_complete(m_peers.machines(true)))
@@ -207,11 +212,11 @@
     while (true)
     {
         co_await m_settled.wait_for(std::chrono::seconds(1));
-        const auto oldest = oldest_window();
+        const auto oldest = oldest_due_window();
         std::vector<std::int64_t> due;
         for (const auto& [window, counts] : m_ledger.settled())
         {
-            if (window >= oldest && !m_reported.contains(window))
+            if (window >= oldest && !m_reported_windows.contains(window))
             {
                 due.push_back(window);
             }
@@ -223,15 +228,15 @@
     }
 }
 
-awaitable<bool> duty_service::read(log_offset from)
+awaitable<bool> duty_service::read_log(log_offset from)
 {
     auto call =
         platform::read_call(platform::duty_topic, from, milliseconds(0));
     const auto sent_at = gateway_state::now();
-    const auto answer =
-        co_await m_store.call(std::move(call), time_for_store());
+    const auto response =
+        co_await m_store.call(std::move(call), store_call_timeout());
     const auto now = gateway_state::now();
-    if (!answer)
+    if (!response)
     {
         m_ledger.on_uncertain();
         m_ledger.on_refused(sent_at);
@@ -239,22 +244,22 @@
     }
     try
     {
-        if (answer->status == http_status::gone)
+        if (response->status == http_status::gone)
         {
             const auto first = log_offset(
-                require_integer(parse_object(answer->body), "first"));
+                require_integer(parse_object(response->body), "first"));
             m_ledger.on_records(from, first, log_offset(INT64_MAX), {},
-                                running_window(), now);
+                                current_window(), now);
             co_return true;
         }
-        if (answer->status != http_status::ok)
+        if (response->status != http_status::ok)
         {
             m_ledger.on_refused(sent_at);
             co_return false;
         }
-        const auto page = platform::read_page(answer->body);
+        const auto page = platform::read_page(response->body);
         m_ledger.on_records(from, page.first, page.end, page.records,
-                            running_window(), now);
+                            current_window(), now);
     }
     catch (const json_error&)
     {
@@ -268,11 +273,11 @@
     const auto sent_at = gateway_state::now();
     auto call =
         platform::append_call(platform::duty_topic, {append.record}, append.at);
-    const auto answer =
-        co_await m_store.call(std::move(call), time_for_store());
+    const auto response =
+        co_await m_store.call(std::move(call), store_call_timeout());
     const auto result =
-        answer ? platform::read_append(answer->status, answer->body)
-               : platform::append_answer();
+        response ? platform::read_append(response->status, response->body)
+                 : platform::append_answer();
     if (result.state != platform::append_answer::outcome::appended)
     {
         m_ledger.on_uncertain();
@@ -299,43 +304,44 @@
     {
         auto report =
             platform::usage_call(window, m_ledger.settled().at(window));
-        const auto answer = co_await call(m_platform, std::move(report));
-        if (!answer)
+        const auto response =
+            co_await call_as_holder(m_platform, std::move(report));
+        if (!response)
         {
             co_return;
         }
-        const bool is_taken = answer->status > 0 &&
-                              answer->status < http_status::first_client_error;
-        if (is_taken)
+        const bool is_accepted =
+            response->status > 0 &&
+            response->status < http_status::first_client_error;
+        if (is_accepted)
         {
             break;
         }
         log(events::duty_call_failed,
             {{"window", std::to_string(window)},
-             {"status", std::to_string(answer->status)},
-             {"token", std::to_string(answer->token)}});
-        boot_timer timer(m_state.context, retry_pause);
+             {"status", std::to_string(response->status)},
+             {"token", std::to_string(response->token)}});
+        boot_timer timer(m_state.context, retry_delay);
         co_await timer.async_wait(use_result);
         if (!m_ledger.settled().contains(window))
         {
             co_return;
         }
     }
-    m_reported.insert(window);
-    while (m_reported.size() > most_reported)
+    m_reported_windows.insert(window);
+    while (m_reported_windows.size() > reported_window_limit)
     {
-        m_reported.erase(m_reported.begin());
+        m_reported_windows.erase(m_reported_windows.begin());
     }
     log(events::usage_reported, {{"window", std::to_string(window)}});
 }
 
-milliseconds duty_service::time_for_store() const
+milliseconds duty_service::store_call_timeout() const
 {
-    return m_was_holder ? renewal_time : store_time;
+    return m_was_holder ? renewal_timeout : store_timeout;
 }
 
-// @return a record that settles the window that is due, once its counts have
-// been collected
+// @return a record that settles the due window, once its counts are collected
 std::optional<ledger_append> duty_service::next_settlement()
 {
     const auto now = gateway_state::now();
@@ -347,13 +353,14 @@
     const auto counts = m_peers.table().counts_of(*window);
     if (counts.empty())
     {
-        m_newest_empty = *window;
+        m_newest_empty_window = *window;
         return std::nullopt;
     }
     return m_ledger.settle(*window, counts, now);
 }
 
-// @return the oldest window that ended lately and is not settled
+// @return the oldest ended window within the reporting deadline that is not
+// settled
 std::optional<std::int64_t> duty_service::due_window() const
 {
     if (m_state.settings.duties_address.empty())
@@ -361,10 +368,10 @@
         return std::nullopt;
     }
     const auto time = m_state.time_of_day();
-    for (auto window = oldest_window();
+    for (auto window = oldest_due_window();
          m_state.usage.end_of(window) + settle_delay <= time; ++window)
     {
-        if (window > m_newest_empty && m_ledger.may_settle(window))
+        if (window > m_newest_empty_window && m_ledger.may_settle(window))
         {
             return window;
         }
@@ -372,16 +379,16 @@
     return std::nullopt;
 }
 
-std::int64_t duty_service::running_window() const
+std::int64_t duty_service::current_window() const
 {
     return m_state.usage.window_of(m_state.time_of_day());
 }
 
-// @return whether all machines in reach have told their counts of the window,
-// or the time for that is over
+// @return whether all reachable hosts have sent their counts of the window, or
+// the time for collecting them has passed
 bool duty_service::is_collected(std::int64_t window) const
 {
-    if (m_collecting != window)
+    if (m_requested_window != window)
     {
         return false;
     }
@@ -391,12 +398,12 @@
     }
     const auto late = absl::FromChrono(m_state.settings.usage_late);
     const auto age = m_state.time_of_day() - m_state.usage.end_of(window);
-    const auto asked_for = gateway_state::now() - m_collecting_since;
-    return age >= late * last_collect_part ||
-           (age >= late * collect_part && asked_for >= least_collect_time);
+    const auto asked_for = gateway_state::now() - m_collection_started_at;
+    return age >= late * final_collect_fraction ||
+           (age >= late * collect_fraction && asked_for >= min_collect_time);
 }
 
-std::int64_t duty_service::oldest_window() const
+std::int64_t duty_service::oldest_due_window() const
 {
     const auto lateness = absl::FromChrono(m_state.settings.usage_late);
     return m_state.usage.window_of(
@@ -404,17 +411,17 @@
         absl::FromChrono(m_state.settings.usage_window));
 }
 
-void duty_service::note_lease()
+void duty_service::publish_lease()
 {
-    const auto holding = m_ledger.token(gateway_state::now());
-    if (holding.has_value() != m_was_holder)
+    const auto held_token = m_ledger.token(gateway_state::now());
+    if (held_token.has_value() != m_was_holder)
     {
-        m_was_holder = holding.has_value();
+        m_was_holder = held_token.has_value();
         log(m_was_holder ? events::lease_held : events::lease_lost,
-            {{"token", std::to_string(holding.value_or(-1))}});
+            {{"token", std::to_string(held_token.value_or(-1))}});
     }
-    m_peers.set_duty(
-        {m_ledger.holder(), holding.value_or(-1), m_ledger.released_token()});
+    m_peers.set_duty({m_ledger.holder(), held_token.value_or(-1),
+                      m_ledger.released_token()});
 }
 
 } // namespace daleshelf
--- a/services/gateway/duty_service.hpp
+++ b/services/gateway/duty_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The duties that one gateway at a time has towards the platform.
+/// Duties towards the platform that one gateway performs at a time.
 #pragma once
 
 #include "gateway_state.hpp"
@@ -14,15 +14,16 @@
 namespace daleshelf
 {
 
-/// How a call of the duties went.
-struct duty_answer
+/// Result of a call that requires the duty lease.
+struct duty_response
 {
-    int status = 0;         ///< 0: no answer
-    std::int64_t token = 0; ///< that it carried
+    int status = 0;         ///< HTTP status; 0: no response
+    std::int64_t token = 0; ///< fencing token that the call carried
 };
 
-/// Keeps the lease, settles each usage window in the log before it is
-/// reported, and reports it as it was settled. See docs/design/platform.md.
+/// Acquires and renews the duty lease, settles each usage window in the log
+/// before reporting it, and reports the settled counts. See
+/// docs/design/platform.md.
 class duty_service
 {
 public:
@@ -30,42 +31,42 @@
 
     void start();
 
-    /// Lets another machine take over as soon as no call is open.
+    /// Releases the lease to another host as soon as no call is in flight.
     void stop()
     {
         m_ledger.stop();
         m_is_stopping = true;
     }
 
-    /// Makes a call that only the holder may make. The lease is judged right
-    /// before it.
-    /// @param caller nobody else uses it meanwhile
-    /// @return nothing if this machine does not hold the duties
-    awaitable<std::optional<duty_answer>> call(http_caller& caller,
-                                               platform::store_call call);
+    /// Makes a call that is reserved for the lease holder. The lease is checked
+    /// immediately before the call.
+    /// @param caller must not be used concurrently
+    /// @return the response; nothing if this host does not hold the lease
+    awaitable<std::optional<duty_response>>
+    call_as_holder(http_caller& caller, platform::store_call call);
 
-    /// @return the fencing token, while this machine holds the duties for at
-    /// least as long as a call takes
-    [[nodiscard]] std::optional<std::int64_t> token() const;
+    /// @return the fencing token if the lease is valid for at least the
+    /// duration of a call
+    [[nodiscard]] std::optional<std::int64_t> fencing_token() const;
 
 private:
-    awaitable<void> keep_ledger();
+    awaitable<void> run_lease();
     awaitable<void> collect_counts();
-    void note_candidacy(bool is_watched);
-    void note_releases();
+    void update_candidacy(bool is_watched);
+    void apply_peer_releases();
     void release_if_due();
-    [[nodiscard]] bool is_leaving() const;
+    [[nodiscard]] bool is_releasing() const;
     awaitable<void> report_usage();
-    awaitable<bool> read(log_offset from);
+    awaitable<bool> read_log(log_offset from);
     awaitable<void> append(ledger_append append);
     awaitable<void> report(std::int64_t window);
     [[nodiscard]] std::optional<ledger_append> next_settlement();
     [[nodiscard]] std::optional<std::int64_t> due_window() const;
-    [[nodiscard]] std::int64_t running_window() const;
+    [[nodiscard]] std::int64_t current_window() const;
     [[nodiscard]] bool is_collected(std::int64_t window) const;
-    [[nodiscard]] std::int64_t oldest_window() const;
-    [[nodiscard]] milliseconds time_for_store() const;
-    void note_lease();
+    [[nodiscard]] std::int64_t oldest_due_window() const;
+    [[nodiscard]] milliseconds store_call_timeout() const;
+    void publish_lease();
 
     gateway_state& m_state;
     peer_exchange& m_peers;
@@ -73,16 +74,20 @@
     http_caller m_store;
     http_caller m_platform;
     async_event m_settled;
-    std::set<std::int64_t> m_reported;
+    std::set<std::int64_t> m_reported_windows;
     count_collection m_collection{collection_options()};
-    std::optional<std::int64_t> m_collecting; ///< the window that is asked for
-    absl::Time m_collecting_since = absl::InfinitePast();
-    std::int64_t m_newest_empty = -1; ///< a window in which nothing began
-    int m_open_calls = 0;
-    absl::Time m_unanswered_at = absl::InfinitePast(); ///< a call of duties
+    /// Window whose counts are requested.
+    std::optional<std::int64_t> m_requested_window;
+    absl::Time m_collection_started_at = absl::InfinitePast();
+    /// Newest due window without any counts.
+    std::int64_t m_newest_empty_window = -1;
+    int m_calls_in_flight = 0;
+    /// When a duty call last ended without a response.
+    absl::Time m_unanswered_call_at = absl::InfinitePast();
     bool m_is_stopping = false;
     bool m_was_holder = false;
-    absl::Time m_watched_at = absl::InfinitePast(); ///< the lease, by others
+    /// When other hosts were last known to watch the lease.
+    absl::Time m_lease_watched_at = absl::InfinitePast();
 };
 
 } // namespace daleshelf
--- a/services/gateway/gateway.cpp
+++ b/services/gateway/gateway.cpp
@@ -11,14 +11,14 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds house_pause{500};
-// The platform may write the settings anew without a signal.
-constexpr int settings_look_every = 4;
-constexpr std::chrono::milliseconds accept_pause{50};
-// The balancer asks every second and lets go after two misses.
-constexpr std::chrono::milliseconds balancer_time{2700};
+constexpr std::chrono::milliseconds maintenance_interval{500};
+// The platform may rewrite the settings file without sending a signal.
+constexpr int rounds_per_settings_check = 4;
+constexpr std::chrono::milliseconds accept_retry_delay{50};
+// The load balancer probes every second and removes a host after two failures.
+constexpr std::chrono::milliseconds balancer_removal_time{2700};
 constexpr std::chrono::milliseconds stop_margin{600};
-constexpr std::chrono::milliseconds stop_step{50};
+constexpr std::chrono::milliseconds stop_check_interval{50};
 
 double seconds_between(monotonic::time_point from, monotonic::time_point to)
 {
@@ -35,15 +35,15 @@
     , m_state(context, std::move(settings))
     , m_configuration(
           m_state, std::string(platform::operator_topic),
-          {[this](const auto& record) { take_operator_record(record); },
-           [this](const auto& records) { take_operator_list(records); },
+          {[this](const auto& record) { apply_operator_record(record); },
+           [this](const auto& records) { apply_operator_list(records); },
            [this](log_offset from, const auto& records) {
                m_peers.tell_read(std::string(platform::operator_topic), from,
                                  records);
            }})
     , m_servers(m_state, std::string(platform::server_topic),
-                {[this](const auto& record) { take_server_record(record); },
-                 [this](const auto& records) { take_server_list(records); },
+                {[this](const auto& record) { apply_server_record(record); },
+                 [this](const auto& records) { apply_server_list(records); },
                  [this](log_offset from, const auto& records) {
                      m_peers.tell_read(std::string(platform::server_topic),
                                        from, records);
@@ -56,31 +56,31 @@
     , m_limits(m_state, m_peers)
     , m_clients(open_acceptor(context, m_state.settings.clients_address))
     , m_readiness(context, m_state.settings.readiness_address,
-                  [this](const std::string&) { return answer_readiness(); })
+                  [this](const std::string&) { return readiness_response(); })
     , m_signals(context, SIGTERM, SIGINT, SIGHUP)
 {
     if (!m_state.settings.metrics_address.empty())
     {
         m_metrics = std::make_unique<small_server>(
             context, m_state.settings.metrics_address,
-            [this](const std::string&) { return answer_metrics(); });
+            [this](const std::string&) { return metrics_response(); });
     }
 }
 
 void gateway::run()
 {
     start();
-    bool has_ended = false;
-    while (!has_ended)
+    bool has_finished = false;
+    while (!has_finished)
     {
         try
         {
             m_context.run();
-            has_ended = true;
+            has_finished = true;
         }
         catch (const std::exception& error)
         {
-            // One request or exchange has ended; the others go on.
+            // Only one request or exchange has failed; the others continue.
             log(events::unexpected_error, {{"error", error.what()}});
         }
     }
@@ -97,7 +97,7 @@
     asio::co_spawn(
         m_context, [this] { return watch_signals(); }, asio::detached);
     asio::co_spawn(
-        m_context, [this] { return keep_house(); }, asio::detached);
+        m_context, [this] { return run_periodic_tasks(); }, asio::detached);
     m_readiness.start();
     if (m_metrics)
     {
@@ -113,7 +113,7 @@
         {{"host", m_state.self.value()},
          {"hall", m_state.hall.value()},
          {"clients", m_state.settings.clients_address},
-         {"started", std::to_string(m_state.started.value())}});
+         {"started", std::to_string(m_state.own_incarnation.value())}});
 }
 
 awaitable<void> gateway::accept_clients()
@@ -123,8 +123,8 @@
         auto [error, socket] = co_await m_clients.async_accept(use_result);
         if (error)
         {
-            // Out of descriptors, or closed: neither ends the process.
-            boot_timer pause(m_context, accept_pause);
+            // Out of file descriptors, or closed: neither stops the process.
+            boot_timer pause(m_context, accept_retry_delay);
             co_await pause.async_wait(use_result);
             continue;
         }
@@ -166,19 +166,20 @@
     }
 }
 
-awaitable<void> gateway::keep_house()
+awaitable<void> gateway::run_periodic_tasks()
 {
     boot_timer timer(m_context);
     for (int round = 1;; ++round)
     {
-        timer.expires_after(house_pause);
+        timer.expires_after(maintenance_interval);
         co_await timer.async_wait(use_result);
         const auto now = monotonic::now();
-        if (round % settings_look_every == 0 && m_settings_file.has_changed())
+        if (round % rounds_per_settings_check == 0 &&
+            m_settings_file.has_changed())
         {
             reload_settings();
         }
-        note_suspension();
+        log_suspension();
         log_server_changes();
         m_state.skipped.write_line();
         m_state.servers.versions().note_orders_known(
@@ -193,14 +194,14 @@
     }
 }
 
-// What rests on times is right without this: they are of the clock that counts
-// suspensions. It tells why much was old at once.
-void gateway::note_suspension()
+// Timeouts do not depend on this: their clock counts suspensions. The log line
+// explains why many of them expired at once.
+void gateway::log_suspension()
 {
     const auto time = m_suspensions.take();
     if (time.count() > 0)
     {
-        m_suspended += time;
+        m_suspended_time += time;
         log(events::host_suspended,
             {{"ms",
               std::to_string(
@@ -208,24 +209,25 @@
     }
 }
 
-// A planned stop: not ready at once; then no new connections; then the end
-// when nothing is in flight, or the time is over.
+// Graceful shutdown: reports not ready, closes idle connections once the
+// balancer has removed this host, and stops when no request is in flight or the
+// drain time is over.
 awaitable<void> gateway::stop()
 {
-    const auto begun = monotonic::now();
+    const auto stop_started_at = monotonic::now();
     m_state.is_stopping = true;
-    m_state.stopping_since = begun;
+    m_state.stopping_since = stop_started_at;
     m_state.quota.shared().stop();
     m_duties.stop();
     log(events::process_stopping,
         {{"in_flight", std::to_string(m_state.requests_in_flight)}});
     const auto time = m_state.settings.stop_time - stop_margin;
     boot_timer timer(m_context);
-    while (monotonic::now() - begun < time)
+    while (monotonic::now() - stop_started_at < time)
     {
-        timer.expires_after(stop_step);
+        timer.expires_after(stop_check_interval);
         co_await timer.async_wait(use_result);
-        if (monotonic::now() - begun < balancer_time)
+        if (monotonic::now() - stop_started_at < balancer_removal_time)
         {
             continue;
         }
@@ -250,8 +252,8 @@
 {
     try
     {
-        // Addresses and names stay for the life of the process; what may
-        // change takes hold at once.
+        // Addresses and names are fixed until the process restarts; the
+        // settings that may change apply at once.
         const auto fresh = read_settings<gateway_settings>(
             m_settings_path, gateway_setting_table());
         m_state.settings.stop_time = fresh.stop_time;
@@ -264,7 +266,7 @@
     }
 }
 
-short_answer gateway::answer_readiness() const
+short_answer gateway::readiness_response() const
 {
     return {m_state.is_ready() ? http_status::ok : http_status::unavailable, "",
             "text/plain"};
@@ -311,7 +313,7 @@
     meter.set("quota_machines", "Gateways that quotas are shared by.",
               static_cast<double>(m_state.quota.shared().fleet_size()));
     meter.set("suspended_seconds", "For which the machine was suspended.",
-              std::chrono::duration<double>(m_suspended).count());
+              std::chrono::duration<double>(m_suspended_time).count());
     meter.set("requests_in_flight", "Requests that are being served.",
               static_cast<double>(m_state.requests_in_flight));
     meter.set("server_connections_made", "Connections opened to servers.",
@@ -329,10 +331,10 @@
     meter.set("rollout_share", "Of requests, that go to the target of one.",
               rollout_share);
     meter.set("holds_duties", "1 while this host holds the duties.",
-              m_duties.token() ? 1 : 0);
+              m_duties.fencing_token() ? 1 : 0);
 }
 
-short_answer gateway::answer_metrics()
+short_answer gateway::metrics_response()
 {
     set_gauges();
     return {http_status::ok, m_state.metrics.render(),
--- a/services/gateway/gateway.hpp
+++ b/services/gateway/gateway.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The gateway: clients in front, servers behind, the platform beside.
+/// The gateway daemon: accepts clients, forwards their requests to upstreams,
+/// and connects to peers and the platform.
 #pragma once
 
 #include "client_session.hpp"
@@ -22,46 +23,48 @@
 namespace daleshelf
 {
 
-/// All parts of one gateway, on one event loop.
+/// All components of one gateway, on one event loop.
 class gateway
 {
 public:
-    /// @param settings_path read again when the file has changed
+    /// @param context the event loop, which `run` runs
+    /// @param settings the initial settings
+    /// @param settings_path the file that is reloaded when it has changed
     gateway(asio::io_context& context, gateway_settings settings,
             std::string settings_path);
 
-    /// Serves until a planned stop has ended.
+    /// Serves requests until a graceful shutdown is complete.
     void run();
 
 private:
-    // A line of 64 is 2 KB; more change at once at the start alone.
-    static constexpr std::size_t most_changes_named = 64;
+    // A log line of 64 names is 2 KB; only at startup do more change at once.
+    static constexpr std::size_t logged_changes_limit = 64;
 
     void start();
     awaitable<void> accept_clients();
     awaitable<void> serve_client(std::shared_ptr<client_session> session);
     awaitable<void> watch_signals();
-    awaitable<void> keep_house();
+    awaitable<void> run_periodic_tasks();
     awaitable<void> stop();
     void reload_settings();
-    void take_operator_record(const platform::keyed_record& record);
-    void take_operator_list(
+    void apply_operator_record(const platform::keyed_record& record);
+    void apply_operator_list(
         const std::map<std::string, platform::keyed_record>& records);
-    void take_configuration(const platform::keyed_record& record);
-    void take_rollout(const service_name& service,
+    void apply_configuration(const platform::keyed_record& record);
+    void apply_rollout(const service_name& service,
+                       const platform::keyed_record& record);
+    void apply_server_record(const platform::keyed_record& record);
+    void apply_server(const server_entry& entry,
                       const platform::keyed_record& record);
-    void take_server_record(const platform::keyed_record& record);
-    void take_server(const server_entry& entry,
-                     const platform::keyed_record& record);
-    void take_server_list(
+    void apply_server_list(
         const std::map<std::string, platform::keyed_record>& records);
-    void note_change(const platform::keyed_record& record,
-                     std::string_view state);
-    void note_suspension();
+    void add_server_change(const platform::keyed_record& record,
+                           std::string_view state);
+    void log_suspension();
     void log_server_changes();
-    [[nodiscard]] short_answer answer_readiness() const;
+    [[nodiscard]] short_answer readiness_response() const;
     void set_gauges();
-    [[nodiscard]] short_answer answer_metrics();
+    [[nodiscard]] short_answer metrics_response();
 
     asio::io_context& m_context;
     std::string m_settings_path;
@@ -80,11 +83,11 @@
     std::unique_ptr<small_server> m_metrics;
     asio::signal_set m_signals;
     std::set<std::shared_ptr<client_session>> m_sessions;
-    /// Since the last log line of them.
-    name_batch m_server_changes{most_changes_named};
+    /// Changes since the last log line.
+    name_batch m_server_changes{logged_changes_limit};
     log_offset m_newest_change;
     suspension_watch m_suspensions;
-    monotonic::duration m_suspended{0}; ///< since the start
+    monotonic::duration m_suspended_time{0}; ///< since the process started
 };
 
 } // namespace daleshelf
--- a/services/gateway/gateway_metrics.cpp
+++ b/services/gateway/gateway_metrics.cpp
@@ -52,12 +52,12 @@
     {
         return "none";
     }
-    const bool is_known = m_routes.contains(route->name);
-    if (!is_known && m_routes.size() >= most_routes)
+    const bool is_known = m_labelled_routes.contains(route->name);
+    if (!is_known && m_labelled_routes.size() >= route_limit)
     {
         return "other";
     }
-    m_routes.emplace(route->name, true);
+    m_labelled_routes.emplace(route->name, true);
     return route->name;
 }
 
--- a/services/gateway/gateway_metrics.hpp
+++ b/services/gateway/gateway_metrics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counters, latencies and ages that a gateway shows.
+/// Counters, latencies and gauges that a gateway exposes.
 #pragma once
 
 #include "async_event.hpp"
@@ -13,18 +13,18 @@
 namespace daleshelf
 {
 
-/// How one request has ended, for metrics.
+/// Result of one request, for metrics.
 struct request_summary
 {
-    const ingress_route* route = nullptr; ///< null: it has none
-    std::string_view outcome;             ///< one of a few words
-    std::string hall;                     ///< of the last server; empty: none
+    const ingress_route* route = nullptr; ///< null: no route matched
+    std::string_view outcome;             ///< from a fixed set
+    std::string hall;                     ///< of the last upstream; empty: none
     int attempts = 0;
     double seconds = 0;
 };
 
-/// Counts requests. Labels are bounded: beyond a number of routes, further
-/// ones are counted together.
+/// Counts requests. The number of labels is bounded: routes beyond
+/// `route_limit` share one label.
 class gateway_metrics
 {
 public:
@@ -32,23 +32,24 @@
     {
     }
 
-    /// Counts a request that has ended.
+    /// Counts a finished request.
     void count(const request_summary& summary);
 
-    /// Counts an attempt that did not bring the answer.
+    /// Counts an attempt that did not yield the response.
+    /// @param end how the attempt ended, as a label
     void count_failed_attempt(std::string_view end);
 
     /// Sets a gauge named `daleshelf_gateway_<name>`.
     void set(const std::string& name, const std::string& help, double value);
 
-    /// Routes that are told apart.
-    static constexpr std::size_t most_routes = 64;
+    /// Number of routes with a label of their own.
+    static constexpr std::size_t route_limit = 64;
 
 private:
     std::string route_label(const ingress_route* route);
 
     metric_registry& m_registry;
-    std::map<std::string, bool> m_routes;
+    std::map<std::string, bool> m_labelled_routes;
 };
 
 } // namespace daleshelf
--- a/services/gateway/gateway_program.cpp
+++ b/services/gateway/gateway_program.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-gateway_settings read(const std::string& path)
+gateway_settings load_settings(const std::string& path)
 {
     return read_settings<gateway_settings>(path, gateway_setting_table());
 }
@@ -22,22 +22,22 @@
 
 int run_gateway(const std::string& settings_path)
 {
-    auto settings = read(settings_path);
+    auto settings = load_settings(settings_path);
     std::signal(SIGPIPE, SIG_IGN);
     start_logging("daleshelfd", log_format::json,
                   severity_from_name(settings.log_level),
                   log_output::bounded_standard_output);
     constexpr int threads = 1;
     asio::io_context context(threads);
-    gateway process(context, std::move(settings), settings_path);
-    process.run();
+    gateway daemon(context, std::move(settings), settings_path);
+    daemon.run();
     finish_log();
     return EXIT_SUCCESS;
 }
 
 void check_gateway_settings(const std::string& settings_path)
 {
-    (void)read(settings_path);
+    (void)load_settings(settings_path);
 }
 
 } // namespace daleshelf
--- a/services/gateway/gateway_program.hpp
+++ b/services/gateway/gateway_program.hpp
@@ -7,13 +7,14 @@
 namespace daleshelf
 {
 
-/// Serves until a planned stop has ended.
-/// @param settings_path the settings file
+/// Serves requests until a graceful shutdown is complete.
+/// @param settings_path path of the settings file
 /// @return the exit code of the process
 /// @throws settings_error if the settings are not valid
 int run_gateway(const std::string& settings_path);
 
-/// Checks the settings file.
+/// Validates the settings file.
+/// @param settings_path path of the settings file
 /// @throws settings_error if the settings are not valid
 void check_gateway_settings(const std::string& settings_path);
 
--- a/services/gateway/gateway_records.cpp
+++ b/services/gateway/gateway_records.cpp
@@ -1,4 +1,4 @@
-// What a gateway makes of the records of the store that it follows.
+// Applies the records of the store topics that the gateway follows.
 #include "gateway.hpp"
 
 #include <base/json.hpp>
@@ -10,20 +10,20 @@
 namespace daleshelf
 {
 
-void gateway::take_operator_record(const platform::keyed_record& record)
+void gateway::apply_operator_record(const platform::keyed_record& record)
 {
     if (const auto service = platform::rollout_service(record.key))
     {
-        take_rollout(*service, record);
+        apply_rollout(*service, record);
     }
     else if (record.key == platform::configuration_key && record.value)
     {
-        take_configuration(record);
+        apply_configuration(record);
     }
 }
 
-// What a whole list lacks has been taken back.
-void gateway::take_operator_list(
+// Orders that are missing from a complete list have been withdrawn.
+void gateway::apply_operator_list(
     const std::map<std::string, platform::keyed_record>& records)
 {
     for (const auto& service : m_state.servers.versions().ordered_services())
@@ -35,8 +35,8 @@
     }
 }
 
-void gateway::take_rollout(const service_name& service,
-                           const platform::keyed_record& record)
+void gateway::apply_rollout(const service_name& service,
+                            const platform::keyed_record& record)
 {
     auto& versions = m_state.servers.versions();
     if (!record.value)
@@ -64,7 +64,7 @@
     }
 }
 
-void gateway::take_configuration(const platform::keyed_record& record)
+void gateway::apply_configuration(const platform::keyed_record& record)
 {
     const auto known =
         m_state.routes ? m_state.routes->configuration().version : -1;
@@ -95,7 +95,7 @@
     }
 }
 
-void gateway::take_server_record(const platform::keyed_record& record)
+void gateway::apply_server_record(const platform::keyed_record& record)
 {
     const upstream_id id(record.key);
     if (!record.value)
@@ -103,43 +103,43 @@
         const auto* listed = m_state.servers.find(id);
         if (listed != nullptr && !listed->is_draining)
         {
-            // Gone without a word: it may serve on, or have ended.
+            // Removed without draining: it may still serve, or have crashed.
             m_state.ends.ask_soon(*listed, end_sign::listed);
         }
         if (m_state.servers.remove(id))
         {
             m_state.pool.drop(id);
-            note_change(record, "gone");
+            add_server_change(record, "gone");
         }
         return;
     }
     try
     {
-        take_server(platform::read_server(record.key, *record.value), record);
+        apply_server(platform::read_server(record.key, *record.value), record);
     }
     catch (const json_error& error)
     {
-        // Another writer's record: the server is unusable until it writes its
-        // own again.
+        // The record of another writer: the upstream is unusable until it
+        // writes a valid record again.
         if (m_state.servers.withhold(id))
         {
-            note_change(record, "withheld");
+            add_server_change(record, "withheld");
         }
         m_state.skipped.note(platform::server_topic, record.key, record.offset,
                              error.what());
     }
 }
 
-void gateway::take_server(const server_entry& entry,
-                          const platform::keyed_record& record)
+void gateway::apply_server(const server_entry& entry,
+                           const platform::keyed_record& record)
 {
     m_state.servers.versions().note_server(entry.service, entry.version,
                                            !m_state.has_servers,
                                            gateway_state::now());
     const auto* before = m_state.servers.find(entry.id);
-    const bool was_to_stay = before != nullptr && !before->is_draining;
-    const auto born_before =
-        was_to_stay ? before->started_at : entry.started_at;
+    const bool was_active = before != nullptr && !before->is_draining;
+    const auto previous_start =
+        was_active ? before->started_at : entry.started_at;
     const auto change = m_state.servers.set(entry);
     if (change == entry_change::none)
     {
@@ -149,25 +149,27 @@
     {
         m_state.choice.reset_server(entry.id);
         m_state.pool.drop(entry.id);
-        if (was_to_stay)
+        if (was_active)
         {
-            m_state.ends.note_over({entry.id, born_before}, end_sign::listed);
+            m_state.ends.note_over({entry.id, previous_start},
+                                   end_sign::listed);
         }
     }
     const std::string_view state = entry.is_draining ? "draining" : "ready";
-    const std::string_view again =
+    const std::string_view restart_prefix =
         change == entry_change::restarted ? "restarted," : "";
-    note_change(record, concat(again, state, "@", entry.hall.value()));
+    add_server_change(record,
+                      concat(restart_prefix, state, "@", entry.hall.value()));
 }
 
-void gateway::note_change(const platform::keyed_record& record,
-                          std::string_view state)
+void gateway::add_server_change(const platform::keyed_record& record,
+                                std::string_view state)
 {
     m_server_changes.add(concat(record.key, "=", state));
     m_newest_change = record.offset;
 }
 
-// One line for all changes of half a second.
+// Logs one line for all changes of a maintenance interval (0.5 s).
 void gateway::log_server_changes()
 {
     if (m_server_changes.is_empty())
@@ -183,7 +185,7 @@
     m_server_changes.clear();
 }
 
-void gateway::take_server_list(
+void gateway::apply_server_list(
     const std::map<std::string, platform::keyed_record>& records)
 {
     absl::flat_hash_set<upstream_id> listed;
--- a/services/gateway/gateway_settings.cpp
+++ b/services/gateway/gateway_settings.cpp
@@ -6,28 +6,28 @@
 namespace
 {
 
-constexpr std::int64_t longest_time_ms = 86400000;
-constexpr std::int64_t most_retries = 1000000;
-constexpr std::int64_t most_servers = 100000;
-// The longest that clients are asked to wait for a quota.
-constexpr std::int64_t longest_quota_retry_ms = 5000;
-// Odds of e to the 50th: nothing would ever be proved beyond.
-constexpr std::int64_t most_proof = 50;
-// A record keeps sixteen.
-constexpr std::int64_t most_ends = 16;
-// Larger than any limit in use by a thousand times.
-constexpr std::int64_t most_quota_slack = 1000000000;
+constexpr std::int64_t time_limit_ms = 86400000;
+constexpr std::int64_t retry_limit = 1000000;
+constexpr std::int64_t server_limit = 100000;
+// Upper limit of the retry delay of requests that exceed a quota.
+constexpr std::int64_t quota_retry_limit_ms = 5000;
+// Natural logarithm: odds of e^50. No request would be confirmed beyond.
+constexpr std::int64_t confirmation_odds_limit = 50;
+// A poison record holds up to 16 crashes.
+constexpr std::int64_t crash_limit = 16;
+// A thousand times any quota limit in use.
+constexpr std::int64_t quota_slack_limit = 1000000000;
 
 std::vector<setting<gateway_settings>> make_table()
 {
     using settings = gateway_settings;
     constexpr auto required = setting_presence::required;
     constexpr auto optional = setting_presence::optional;
-    const setting_limits time{0, longest_time_ms, {}};
-    const setting_limits retries{0, most_retries, {}};
-    const setting_limits quotas{0, most_quota_slack, {}};
+    const setting_limits time{0, time_limit_ms, {}};
+    const setting_limits retries{0, retry_limit, {}};
+    const setting_limits quotas{0, quota_slack_limit, {}};
     const setting_limits part{0, 1, {}};
-    const setting_limits servers{0, most_servers, {}};
+    const setting_limits servers{0, server_limit, {}};
     return {
         {"host.id", &settings::host_id, "name of this host", required},
         {"host.hall", &settings::host_hall, "hall that this host is in",
@@ -77,18 +77,18 @@
          optional, part},
         {"rollouts.slack", &settings::rollout_slack,
          "requests that such a version may get besides", optional, retries},
-        {"poison.proof", &settings::poison_proof,
+        {"poison.proof", &settings::poison_confirmation_odds,
          "logarithm of the odds at which a request counts as one that ends "
          "servers",
-         optional, setting_limits{1, most_proof, {}}},
-        {"poison.most_ends", &settings::poison_most_ends,
+         optional, setting_limits{1, confirmation_odds_limit, {}}},
+        {"poison.most_ends", &settings::poison_crash_limit,
          "ends after which less evidence is enough", optional,
-         setting_limits{2, most_ends, {}}},
-        {"poison.first_trial_ms", &settings::poison_first_trial,
+         setting_limits{2, crash_limit, {}}},
+        {"poison.first_trial_ms", &settings::poison_first_probe_delay,
          "time until such a request is tried again by one host; twice as long "
          "each time",
          optional, time},
-        {"poison.longest_trial_ms", &settings::poison_longest_trial,
+        {"poison.longest_trial_ms", &settings::poison_probe_delay_limit,
          "the longest such time", optional, time},
         {"policy.routes_by_prompt", &settings::routes_by_prompt,
          "prefer servers that have read parts of a prompt"},
@@ -106,7 +106,7 @@
          "go on with a broken stream at another server"},
         {"policy.quota_retry_ms", &settings::quota_retry_ms,
          "earliest return of a request beyond its quota", optional,
-         setting_limits{0, longest_quota_retry_ms, {}}},
+         setting_limits{0, quota_retry_limit_ms, {}}},
         {"policy.refuses_hopeless", &settings::refuses_hopeless,
          "refuse at once prompts that are expected to begin after their "
          "deadline"},
--- a/services/gateway/gateway_settings.hpp
+++ b/services/gateway/gateway_settings.hpp
@@ -35,10 +35,11 @@
     std::chrono::milliseconds usage_late{10000};
     double rollout_share = 0.1;
     double rollout_slack = 0;
-    double poison_proof = 9.2; ///< see poison_options, as all of these
-    std::int64_t poison_most_ends = 3;
-    std::chrono::milliseconds poison_first_trial{120000};
-    std::chrono::milliseconds poison_longest_trial{3600000};
+    // See poison_options for these four.
+    double poison_confirmation_odds = 9.2;
+    std::int64_t poison_crash_limit = 3;
+    std::chrono::milliseconds poison_first_probe_delay{120000};
+    std::chrono::milliseconds poison_probe_delay_limit{3600000};
 };
 
 /// @return every key that the gateway knows
--- a/services/gateway/gateway_state.cpp
+++ b/services/gateway/gateway_state.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-retry_budget_options retry_options(const gateway_settings& settings)
+retry_budget_options make_retry_options(const gateway_settings& settings)
 {
     retry_budget_options options;
     options.ratio = settings.retry_ratio;
@@ -16,7 +16,7 @@
     return options;
 }
 
-quota_options bound_of_quotas(const gateway_settings& settings)
+quota_options make_quota_options(const gateway_settings& settings)
 {
     quota_options options;
     options.window = absl::FromChrono(settings.quota_window);
@@ -25,17 +25,19 @@
     return options;
 }
 
-poison_options bound_of_poison(const gateway_settings& settings)
+poison_options make_poison_options(const gateway_settings& settings)
 {
     poison_options options;
-    options.confirmation_odds = settings.poison_proof;
-    options.crash_limit = static_cast<std::size_t>(settings.poison_most_ends);
-    options.first_probe_delay = absl::FromChrono(settings.poison_first_trial);
-    options.probe_delay_limit = absl::FromChrono(settings.poison_longest_trial);
+    options.confirmation_odds = settings.poison_confirmation_odds;
+    options.crash_limit = static_cast<std::size_t>(settings.poison_crash_limit);
+    options.first_probe_delay =
+        absl::FromChrono(settings.poison_first_probe_delay);
+    options.probe_delay_limit =
+        absl::FromChrono(settings.poison_probe_delay_limit);
     return options;
 }
 
-std::uint64_t seed_of(const gateway_settings& settings)
+std::uint64_t random_seed(const gateway_settings& settings)
 {
     return std::hash<std::string>()(settings.host_id) ^
            static_cast<std::uint64_t>(absl::ToUnixNanos(wall_time()));
@@ -64,15 +66,16 @@
     , settings(std::move(values))
     , self(settings.host_id)
     , hall(settings.host_hall)
-    , started(absl::ToUnixMillis(wall_time()))
-    , rollouts(self, started, servers.versions())
-    , choice(servers, hall, seed_of(settings), settings)
+    , own_incarnation(absl::ToUnixMillis(wall_time()))
+    , rollouts(self, own_incarnation, servers.versions())
+    , choice(servers, hall, random_seed(settings), settings)
     , pool(loop)
-    , quota(loop, shared_quota(self, hall, started, bound_of_quotas(settings)))
-    , retries(retry_options(settings))
+    , quota(loop, shared_quota(self, hall, own_incarnation,
+                               make_quota_options(settings)))
+    , retries(make_retry_options(settings))
     , usage(absl::FromChrono(settings.usage_window))
-    , poison(bound_of_poison(settings))
-    , poison_news(loop.get_executor())
+    , poison(make_poison_options(settings))
+    , poison_updates(loop.get_executor())
     , limit_updates(loop.get_executor())
     , ends(*this)
     , limits(*this)
--- a/services/gateway/gateway_state.hpp
+++ b/services/gateway/gateway_state.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the gateway's parts share. All of them run on one event loop.
+/// State shared by the components of the gateway, which run on one event loop.
 #pragma once
 
 #include "async_event.hpp"
@@ -32,37 +32,37 @@
 namespace daleshelf
 {
 
-/// How this machine learns of changes in what the store holds.
+/// How this host learns of changes to the records in the store.
 enum class list_role
 {
-    starting, ///< it does not know the others yet
-    alone,    ///< it asks the store; nobody waits for what it reads
-    reader,   ///< it asks the store and tells the other machines of its hall
-    follower, ///< it waits for what readers tell
+    starting, ///< does not know its peers yet
+    alone,    ///< polls the store for itself only
+    reader,   ///< polls the store and forwards changes to its hall
+    follower, ///< receives changes from the readers of its hall
 };
 
-/// @return its name in the log
+/// @return the name of the role in the log
 [[nodiscard]] std::string_view name_of(list_role role);
 
-/// What this host has sent to one service.
+/// Load that this host has sent to one service.
 struct service_load
 {
-    service_work work; ///< since this start
+    service_work work; ///< since the process started
     prompt_samples samples;
 };
 
-/// The state that requests are decided by.
+/// State that decisions on requests are based on.
 struct gateway_state
 {
     gateway_state(asio::io_context& loop, gateway_settings values);
 
-    /// @return the monotonic clock, as the libraries take it
+    /// @return the monotonic time, in the type that the libraries use
     [[nodiscard]] static absl::Time now();
 
-    /// @return a time of the monotonic clock, as the libraries take it
+    /// @return a monotonic time, in the type that the libraries use
     [[nodiscard]] static absl::Time to_time(monotonic::time_point at);
 
-    /// @return the time of day, as all machines together believe it
+    /// @return the time of day, as estimated jointly by all hosts
     [[nodiscard]] absl::Time time_of_day() const
     {
         return clock.at(now());
@@ -78,11 +78,12 @@
     gateway_settings settings;
     host_id self;
     hall_id hall;
-    incarnation started;
+    incarnation own_incarnation;
     metric_registry metrics;
     gateway_metrics meter{metrics};
     time_estimate clock;
-    std::shared_ptr<const route_table> routes; ///< null until one is known
+    /// Null until a configuration is known.
+    std::shared_ptr<const route_table> routes;
     server_directory servers;
     rollout_watch rollouts;
     server_choice choice;
@@ -92,22 +93,23 @@
     usage_counter usage;
     absl::BitGen random;
     engine_table engines;
-    std::map<service_name, service_load> loads; ///< of engines
+    std::map<service_name, service_load> loads; ///< of engine services
     skipped_records skipped;
     poison_detector poison;
     suspects_in_flight suspects;
-    async_event poison_news;   ///< there is something to tell of `poison`
-    async_event limit_updates; ///< limits of upstreams have changed
+    async_event poison_updates; ///< `poison` has records to gossip
+    async_event limit_updates;  ///< limits of upstreams have changed
     server_ends ends;
     upstream_limiter limits;
     bool has_servers = false;
-    bool knows_hosts = false; ///< the list of hosts was read, with those that
-                              ///< started together with this one
+    bool knows_hosts = false; ///< the list of hosts was read, including those
+                              ///< that started at the same time
     bool is_stopping = false;
     monotonic::time_point stopping_since{};
     list_role role = list_role::starting;
-    /// Changes that come within this time of one another are read together.
-    milliseconds change_pause{100};
+    /// Changes in the store that follow each other within this time are read
+    /// in one batch.
+    milliseconds change_batch_delay{100};
     std::int64_t requests_in_flight = 0;
 };
 
--- a/services/gateway/limit_service.cpp
+++ b/services/gateway/limit_service.cpp
@@ -8,23 +8,24 @@
 namespace
 {
 
-// Updates wait for others that long; four hops reach 580 hosts in 0.2 s.
-constexpr milliseconds gossip_pause{50};
-constexpr std::chrono::seconds idle_time{60};
-// A repetition of 12 records of 45 bytes every 2 s is under 300 bytes a second.
-constexpr std::chrono::seconds repeat_pause{2};
-constexpr std::size_t records_repeated = 12;
-// 3 KB; further updates follow after the next pause.
-constexpr std::size_t most_records = 64;
+// Batches updates. Four gossip hops reach 580 hosts in 0.2 s.
+constexpr milliseconds gossip_delay{50};
+constexpr std::chrono::seconds idle_timeout{60};
+// 12 records of 45 bytes every 2 s are under 300 bytes a second.
+constexpr std::chrono::seconds repeat_interval{2};
+constexpr std::size_t records_per_repetition = 12;
+// 3 KB per message; further updates follow after the next delay.
+constexpr std::size_t records_per_message = 64;
 
 } // namespace
 
 limit_service::limit_service(gateway_state& state, peer_exchange& peers)
     : m_state(state), m_peers(peers)
 {
-    peers.set_limit_listener([this](std::string_view bytes) { take(bytes); });
+    peers.set_limit_listener([this](std::string_view bytes)
+                             { receive(bytes); });
     peers.add_start_listener([this](const std::string& address)
-                             { greet(address); });
+                             { send_known(address); });
 }
 
 void limit_service::start()
@@ -40,8 +41,8 @@
     boot_timer timer(m_state.context);
     while (true)
     {
-        co_await m_state.limit_updates.wait_for(idle_time);
-        timer.expires_after(gossip_pause);
+        co_await m_state.limit_updates.wait_for(idle_timeout);
+        timer.expires_after(gossip_delay);
         co_await timer.async_wait(use_result);
         apply_updates();
     }
@@ -51,7 +52,7 @@
 {
     auto& limits = m_state.quota.shared().limits();
     std::vector<limit_record> records;
-    for (const auto& update : limits.take_updates(most_records))
+    for (const auto& update : limits.take_updates(records_per_message))
     {
         apply_limit_change(m_state, update);
         records.push_back(update.record);
@@ -71,10 +72,10 @@
     boot_timer timer(m_state.context);
     while (true)
     {
-        timer.expires_after(repeat_pause);
+        timer.expires_after(repeat_interval);
         co_await timer.async_wait(use_result);
-        const auto records =
-            m_state.quota.shared().limits().next_in_turn(records_repeated);
+        const auto records = m_state.quota.shared().limits().next_in_turn(
+            records_per_repetition);
         if (!records.empty())
         {
             m_peers.tell_any(encode_limits(records));
@@ -82,7 +83,7 @@
     }
 }
 
-void limit_service::take(std::string_view bytes)
+void limit_service::receive(std::string_view bytes)
 {
     const auto records = decode_limits(bytes);
     if (!records)
@@ -100,9 +101,10 @@
     }
 }
 
-void limit_service::greet(const std::string& address)
+void limit_service::send_known(const std::string& address)
 {
-    const auto known = m_state.quota.shared().limits().newest(most_records);
+    const auto known =
+        m_state.quota.shared().limits().newest(records_per_message);
     if (!known.empty())
     {
         m_peers.tell_one(address, encode_limits(known));
--- a/services/gateway/limit_service.hpp
+++ b/services/gateway/limit_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How hosts learn of each other which upstreams have named a limit.
+/// Gossip of the limits that upstreams announce.
 #pragma once
 
 #include "gateway_state.hpp"
@@ -10,9 +10,9 @@
 namespace daleshelf
 {
 
-/// Gossips changed limits to a few peers at once, who pass them on, repeats
-/// known ones slowly, since datagrams are lost, and sends all to a host that
-/// has just started. See docs/design/upstream-limits.md.
+/// Gossips changed limits to a few peers, which forward them. Repeats known
+/// limits at a low rate, since datagrams may be lost, and sends the newest ones
+/// to a host that has just started. See docs/design/upstream-limits.md.
 class limit_service
 {
 public:
@@ -23,9 +23,9 @@
 private:
     awaitable<void> send_updates();
     awaitable<void> repeat_known();
-    void take(std::string_view bytes);
+    void receive(std::string_view bytes);
     void apply_updates();
-    void greet(const std::string& address);
+    void send_known(const std::string& address);
 
     gateway_state& m_state;
     peer_exchange& m_peers;
--- a/services/gateway/peer_exchange.cpp
+++ b/services/gateway/peer_exchange.cpp
@@ -55,7 +55,7 @@
     , m_list(state, [this](const machine_address& machine)
              { m_table.add_address(machine, gateway_state::now()); })
     , m_table({state.self, state.settings.peers_address, state.hall},
-              state.started, peer_options())
+              state.own_incarnation, peer_options())
     , m_socket(state.context, udp_endpoint(state.settings.peers_address))
     , m_server(state.context, state.settings.peers_address,
                [this](const std::string& target)
@@ -117,7 +117,7 @@
                                const std::vector<host_id>& machines)
 {
     window_counts question;
-    question.from = {m_state.self, m_state.started};
+    question.from = {m_state.self, m_state.own_incarnation};
     question.window = window;
     question.is_question = true;
     const auto bytes = encode(question);
@@ -220,7 +220,7 @@
         m_state.quota.tick();
         m_state.engines.refresh();
         m_state.retries.set_hosts(m_state.quota.shared().counted_hosts(now));
-        m_state.change_pause =
+        m_state.change_batch_delay =
             std::clamp(absl::ToChronoMilliseconds(m_table.send_pause() / 3),
                        least_change_pause,
                        m_state.role == list_role::reader ? readers_change_pause
--- a/services/gateway/peer_states.cpp
+++ b/services/gateway/peer_states.cpp
@@ -38,9 +38,9 @@
         // The asker's clock is ahead: it asks again.
         return;
     }
-    m_table.note_own_counts(m_state.usage.counts(), m_state.started);
+    m_table.note_own_counts(m_state.usage.counts(), m_state.own_incarnation);
     window_counts answer;
-    answer.from = {m_state.self, m_state.started};
+    answer.from = {m_state.self, m_state.own_incarnation};
     answer.window = told->window;
     answer.counts = m_table.told_counts(told->window);
     send_datagram(sender, encode(answer));
@@ -106,7 +106,7 @@
 {
     machine_state state;
     state.self = {m_state.self, m_state.settings.peers_address};
-    state.started = m_state.started;
+    state.started = m_state.own_incarnation;
     state.sequence = ++m_sequence;
     state.hall = m_state.hall;
     state.wall_time_ms = absl::ToUnixMillis(wall_time());
@@ -127,9 +127,9 @@
             state.loads.push_back({server, load.active, load.unread_tokens});
         }
     }
-    m_table.note_own_counts(m_state.usage.counts(), m_state.started);
+    m_table.note_own_counts(m_state.usage.counts(), m_state.own_incarnation);
     state.counts = m_table.newest_windows(m_state.usage.counts());
-    state.ended_counts = m_table.ended_counts(m_state.started);
+    state.ended_counts = m_table.ended_counts(m_state.own_incarnation);
     state.machines = some_machines();
     state.fleet_size =
         static_cast<std::int64_t>(m_state.quota.shared().fleet_size());
--- a/services/gateway/poison_service.cpp
+++ b/services/gateway/poison_service.cpp
@@ -14,16 +14,16 @@
 namespace
 {
 
-// News waits so long for more: four steps through the fleet take a fifth of a
-// second.
-constexpr milliseconds tell_pause{50};
-// Records of 0.1 KB: with eight peers told, 20 KB a tick at most, a seventh of
-// a link of 10 Mbit/s.
-constexpr std::size_t most_told = 16;
-// In a storm of ends each says little, and there are many.
-constexpr double least_told_weight = 1.6;
-constexpr milliseconds store_time{700};
-constexpr milliseconds read_pause{1000};
+// Batches updates. Four gossip hops through the fleet take 0.2 s.
+constexpr milliseconds gossip_delay{50};
+// A record is 0.1 KB: sent to eight peers, a batch is 20 KB at most, a seventh
+// of a 10 Mbit/s link.
+constexpr std::size_t records_per_message = 16;
+// During a storm of crashes, each record carries little evidence, and there are
+// many: lighter ones are not gossiped.
+constexpr double min_gossip_weight = 1.6;
+constexpr milliseconds store_timeout{700};
+constexpr milliseconds read_retry_delay{1000};
 
 } // namespace
 
@@ -32,9 +32,10 @@
     , m_peers(peers)
     , m_store(state.context, state.settings.store_address)
 {
-    peers.set_poison_listener([this](std::string_view bytes) { take(bytes); });
+    peers.set_poison_listener([this](std::string_view bytes)
+                              { receive(bytes); });
     peers.add_start_listener([this](const std::string& address)
-                             { tell_starting(address); });
+                             { send_known(address); });
 }
 
 void poison_service::start()
@@ -49,88 +50,89 @@
     bool is_read = co_await read_log();
     while (!is_read)
     {
-        timer.expires_after(read_pause);
+        timer.expires_after(read_retry_delay);
         co_await timer.async_wait(use_result);
         is_read = co_await read_log();
     }
     while (true)
     {
-        co_await m_state.poison_news.wait_for(std::chrono::seconds(60));
-        timer.expires_after(tell_pause);
+        co_await m_state.poison_updates.wait_for(std::chrono::seconds(60));
+        timer.expires_after(gossip_delay);
         co_await timer.async_wait(use_result);
-        tell_news();
+        send_updates();
     }
 }
 
-// @return whether the store has told what is kept there
+// @return whether the store has returned the records
 awaitable<bool> poison_service::read_log()
 {
     const auto listed = co_await list_topic(
-        m_store, std::string(platform::poison_topic), store_time);
+        m_store, std::string(platform::poison_topic), store_timeout);
     if (!listed)
     {
         co_return false;
     }
     for (const auto& record : listed->records)
     {
-        take_record(record);
+        apply_record(record);
     }
     co_return true;
 }
 
-// A record's value is the time of day at which it was written, a blank, and
-// what hosts tell each other.
-void poison_service::take_record(const platform::keyed_record& record)
+// A record's value is the time of day at which it was written, in milliseconds,
+// a space, and the records as encoded for gossip.
+void poison_service::apply_record(const platform::keyed_record& record)
 {
     const auto value = record.value.value_or("");
-    const auto blank = std::min(value.find(' '), value.size());
-    const auto written_ms = parse_integer(value.substr(0, blank));
-    const auto rest = std::min(blank + 1, value.size());
+    const auto separator = std::min(value.find(' '), value.size());
+    const auto written_ms = parse_integer(value.substr(0, separator));
+    const auto payload_start = std::min(separator + 1, value.size());
     const auto age = wall_time() - absl::FromUnixMillis(written_ms.value_or(0));
     const auto now = gateway_state::now();
-    const auto known = decode_poison(value.substr(rest),
+    const auto known = decode_poison(value.substr(payload_start),
                                      now - std::max(age, absl::ZeroDuration()));
     if (!written_ms || !known)
     {
         m_state.skipped.note(platform::poison_topic, record.key, record.offset,
-                             "no record of a request");
+                             "not a valid poison record");
         return;
     }
-    for (const auto& told : *known)
+    for (const auto& known_record : *known)
     {
-        m_state.poison.merge(told, now);
-        note_changes(told);
+        m_state.poison.merge(known_record, now);
+        handle_confirmation(known_record);
     }
 }
 
-void poison_service::take(std::string_view bytes)
+void poison_service::receive(std::string_view bytes)
 {
     const auto now = gateway_state::now();
-    const auto told = decode_poison(bytes, now);
-    if (!told)
+    const auto received = decode_poison(bytes, now);
+    if (!received)
     {
         return;
     }
-    for (const auto& record : *told)
+    for (const auto& record : *received)
     {
         if (m_state.poison.merge(record, now))
         {
-            m_state.poison_news.notify();
+            m_state.poison_updates.notify();
         }
-        // Its server has ended under others of this host as well.
-        for (const auto& [life, end] : record.crashes)
+        // The crash also affects requests of this host at that upstream.
+        for (const auto& [crashed, crash] : record.crashes)
         {
-            m_state.ends.note_over(life, end_sign::told);
+            m_state.ends.note_over(crashed, end_sign::told);
         }
     }
 }
 
-// What changed since the last tick goes to a few peers, who tell it on.
-void poison_service::tell_news()
+// Sends records that changed since the last batch to a few peers, which
+// forward them.
+void poison_service::send_updates()
 {
     const auto now = gateway_state::now();
-    std::vector<poison_record> told;
-    for (const auto& record : m_state.poison.take_unsent(most_told))
+    std::vector<poison_record> updates;
+    for (const auto& record : m_state.poison.take_unsent(records_per_message))
     {
         const auto servers = m_state.servers.usable(record.service).size();
         m_state.poison.judge(record.fingerprint, servers, now);
@@ -139,52 +141,54 @@
         {
             continue;
         }
-        note_changes(*newest);
-        const bool says_much =
+        handle_confirmation(*newest);
+        const bool is_significant =
             newest->is_confirmed || newest->epoch > 0 ||
             !newest->responses.empty() ||
-            m_state.poison.weight(*newest, servers) >= least_told_weight;
-        if (says_much)
+            m_state.poison.weight(*newest, servers) >= min_gossip_weight;
+        if (is_significant)
         {
-            told.push_back(*newest);
+            updates.push_back(*newest);
         }
     }
-    if (!told.empty())
+    if (!updates.empty())
     {
-        m_peers.tell_some(encode_poison(told, now));
+        m_peers.tell_some(encode_poison(updates, now));
     }
     if (m_state.poison.has_unsent())
     {
-        m_state.poison_news.notify();
+        m_state.poison_updates.notify();
     }
 }
 
-// A host that starts knows what is proved from the log, and nothing of what is
-// only suspected: those that read for their halls tell it, or all of a few.
-void poison_service::tell_starting(const std::string& address)
+// A starting host reads confirmed requests from the log, but learns of
+// suspected ones from peers only: from the readers of the halls, or, in a small
+// fleet, from all hosts.
+void poison_service::send_known(const std::string& address)
 {
-    const bool tells =
+    const bool is_sender =
         m_state.role == list_role::reader || m_state.role == list_role::alone;
-    const auto known = m_state.poison.newest(most_told);
-    if (tells && !known.empty())
+    const auto known = m_state.poison.newest(records_per_message);
+    if (is_sender && !known.empty())
     {
         m_peers.tell_one(address, encode_poison(known, gateway_state::now()));
     }
 }
 
-// Logs what is proved or void now; whoever saw the last end writes it down.
-void poison_service::note_changes(const poison_record& record)
+// Logs requests that have become confirmed or cleared. The host that observed
+// the last crash writes the change to the log.
+void poison_service::handle_confirmation(const poison_record& record)
 {
-    const bool is_known = m_proved.contains(record.fingerprint);
-    if (record.is_confirmed == is_known)
+    const bool was_confirmed = m_confirmed.contains(record.fingerprint);
+    if (record.is_confirmed == was_confirmed)
     {
         return;
     }
-    const bool is_own = record.observed_at != absl::InfinitePast() &&
-                        record.observed_at >= record.last_crash();
+    const bool is_observed_here = record.observed_at != absl::InfinitePast() &&
+                                  record.observed_at >= record.last_crash();
     if (record.is_confirmed)
     {
-        m_proved.insert(record.fingerprint);
+        m_confirmed.insert(record.fingerprint);
         const auto servers = m_state.servers.usable(record.service).size();
         log(events::poison_proved,
             {{"print", record.fingerprint.value()},
@@ -192,22 +196,22 @@
              {"ends", std::to_string(record.crashes.size())},
              {"weight", std::to_string(m_state.poison.weight(record, servers))},
              {"servers", std::to_string(servers)},
-             {"seen_here", is_own ? "true" : "false"}});
+             {"seen_here", is_observed_here ? "true" : "false"}});
     }
     else
     {
-        m_proved.erase(record.fingerprint);
+        m_confirmed.erase(record.fingerprint);
         log(events::poison_cleared, {{"print", record.fingerprint.value()}});
     }
-    if (is_own)
+    if (is_observed_here)
     {
         asio::co_spawn(
-            m_state.context, [this, record] { return write(record); },
+            m_state.context, [this, record] { return write_record(record); },
             asio::detached);
     }
 }
 
-awaitable<void> poison_service::write(poison_record record)
+awaitable<void> poison_service::write_record(poison_record record)
 {
     std::string value;
     if (record.is_confirmed)
@@ -220,8 +224,9 @@
         platform::poison_topic,
         {platform::encode_keyed(record.fingerprint.value(), value)},
         std::nullopt);
-    const auto answer = co_await caller.call(std::move(append), store_time);
-    if (!answer || answer->status != http_status::ok)
+    const auto response =
+        co_await caller.call(std::move(append), store_timeout);
+    if (!response || response->status != http_status::ok)
     {
         log(events::log_unreachable,
             {{"topic", std::string(platform::poison_topic)},
--- a/services/gateway/poison_service.hpp
+++ b/services/gateway/poison_service.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What this host does about requests that end servers.
+/// Distribution and storage of poison records: evidence on requests that crash
+/// upstreams.
 #pragma once
 
 #include "gateway_state.hpp"
@@ -11,8 +12,8 @@
 namespace daleshelf
 {
 
-/// Tells the fleet what is known of such requests, keeps what is proved on the
-/// log, and reads that when it starts. See docs/design/poison.md.
+/// Gossips poison records to the fleet, writes confirmed ones to the log, and
+/// reads them back at startup. See docs/design/poison.md.
 class poison_service
 {
 public:
@@ -23,17 +24,18 @@
 private:
     awaitable<void> run();
     awaitable<bool> read_log();
-    awaitable<void> write(poison_record record);
-    void take(std::string_view bytes);
-    void take_record(const platform::keyed_record& record);
-    void tell_news();
-    void tell_starting(const std::string& address);
-    void note_changes(const poison_record& record);
+    awaitable<void> write_record(poison_record record);
+    void receive(std::string_view bytes);
+    void apply_record(const platform::keyed_record& record);
+    void send_updates();
+    void send_known(const std::string& address);
+    void handle_confirmation(const poison_record& record);
 
     gateway_state& m_state;
     peer_exchange& m_peers;
     http_caller m_store;
-    absl::flat_hash_set<request_fingerprint> m_proved; ///< logged as such
+    /// Requests that were logged as confirmed.
+    absl::flat_hash_set<request_fingerprint> m_confirmed;
 };
 
 } // namespace daleshelf
--- a/services/gateway/quota_service.cpp
+++ b/services/gateway/quota_service.cpp
@@ -9,11 +9,11 @@
 namespace
 {
 
-// A keeper answers at once: within 1 ms in its hall, within 6 ms in another.
-// One whose processor share is used up stands still for up to 0.09 s.
-constexpr milliseconds ask_time{100};
+// A keeper responds at once: within 1 ms in the same hall, within 6 ms from
+// another. A host that has used up its CPU quota is paused for up to 0.09 s.
+constexpr milliseconds response_timeout{100};
 
-std::string whole(double value)
+std::string format_integer(double value)
 {
     return std::to_string(static_cast<std::int64_t>(value));
 }
@@ -35,16 +35,16 @@
         {
             quota_verdict verdict;
             verdict.is_within = step.what == claim_step::outcome::granted;
-            verdict.how = describe(claim);
+            verdict.explanation = describe(claim);
             co_return verdict;
         }
-        const auto ask = step.ask->message.sequence;
-        const auto answered =
+        const auto sequence_number = step.ask->message.sequence;
+        const auto response_event =
             std::make_shared<async_event>(m_context.get_executor());
-        m_waiting[ask] = answered;
+        m_pending_requests[sequence_number] = response_event;
         send(*step.ask);
-        co_await answered->wait_for(ask_time);
-        m_waiting.erase(ask);
+        co_await response_event->wait_for(response_timeout);
+        m_pending_requests.erase(sequence_number);
     }
 }
 
@@ -54,16 +54,17 @@
     {
         send(message);
     }
-    log_pools();
+    log_rejections();
 }
 
 std::string quota_service::receive(const quota_message& message)
 {
     const auto reply = m_quota.receive(message, now());
-    const auto waiting = m_waiting.find(message.answer_to);
-    if (waiting != m_waiting.end() && m_quota.has_answer(message.answer_to))
+    const auto pending = m_pending_requests.find(message.answer_to);
+    if (pending != m_pending_requests.end() &&
+        m_quota.has_answer(message.answer_to))
     {
-        waiting->second->notify();
+        pending->second->notify();
     }
     return reply ? encode(*reply) : std::string();
 }
@@ -77,9 +78,10 @@
 std::string quota_service::describe(const quota_claim& claim) const
 {
     const auto [asked, answered] = claim.asked_and_answered();
-    return concat("collected ", whole(claim.collected()), ", asked ", asked,
-                  ", answered ", answered, ", hosts ", m_quota.fleet_size(),
-                  ", share ", std::to_string(m_quota.share()));
+    return concat("collected ", format_integer(claim.collected()), ", asked ",
+                  asked, ", answered ", answered, ", hosts ",
+                  m_quota.fleet_size(), ", share ",
+                  std::to_string(m_quota.share()));
 }
 
 void quota_service::send(const addressed_quota_message& message) const
@@ -90,23 +92,23 @@
     }
 }
 
-// One line a workspace and tick at the most, and only where something was
-// refused since the last one.
-void quota_service::log_pools()
+// Logs at most one line per workspace and tick, and only if requests were
+// rejected since the previous line.
+void quota_service::log_rejections()
 {
     for (const auto& [workspace, state] : m_quota.pool().states())
     {
-        auto& logged = m_logged_refused[workspace];
-        if (state.refused <= logged)
+        auto& logged_rejections = m_logged_rejections[workspace];
+        if (state.refused <= logged_rejections)
         {
             continue;
         }
-        logged = state.refused;
+        logged_rejections = state.refused;
         log(events::quota_view,
             {{"workspace", workspace.value()},
-             {"balance", whole(state.balance)},
-             {"granted", whole(state.granted)},
-             {"refused", whole(state.refused)},
+             {"balance", format_integer(state.balance)},
+             {"granted", format_integer(state.granted)},
+             {"refused", format_integer(state.refused)},
              {"weight", std::to_string(m_quota.pool().weight(now()))},
              {"hosts", std::to_string(m_quota.fleet_size())}});
     }
--- a/services/gateway/quota_service.hpp
+++ b/services/gateway/quota_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Taking quotas from the keepers of the fleet.
+/// Obtains quota from the hosts that hold it.
 #pragma once
 
 #include "async_event.hpp"
@@ -15,16 +15,16 @@
 namespace daleshelf
 {
 
-/// Whether a request is within a quota, and how that was found.
+/// Whether a request is within a quota, and why.
 struct quota_verdict
 {
     bool is_within = false;
-    std::string how; ///< for logs
+    std::string explanation; ///< for logs
 };
 
-/// Carries the messages of a `shared_quota`: a request waits for the answers
-/// of the keepers that it asks, each for a bounded time. Runs on the
-/// gateway's event loop.
+/// Exchanges the messages of a `shared_quota`: a request waits for the
+/// responses of the keepers (hosts that hold parts of a quota) that it asks,
+/// for a bounded time each. Runs on the gateway's event loop.
 class quota_service
 {
 public:
@@ -33,13 +33,13 @@
 
     quota_service(asio::io_context& context, shared_quota quota);
 
-    /// Sets how datagrams leave; until then none do.
+    /// Sets the function that sends datagrams; without one, none are sent.
     void set_sender(sender send)
     {
         m_send = std::move(send);
     }
 
-    /// @return the decisions behind the messages
+    /// @return the protocol state, free of I/O
     [[nodiscard]] shared_quota& shared()
     {
         return m_quota;
@@ -50,28 +50,32 @@
         return m_quota;
     }
 
-    /// Takes a request's cost, from as many keepers as are needed.
-    /// @param cost in the subject's unit
+    /// Takes the cost of a request out of a quota, from as many keepers as
+    /// needed.
+    /// @param subject the workspace or upstream that the quota applies to
+    /// @param cost in the unit of the subject
+    /// @return whether the whole cost was granted, and why
     awaitable<quota_verdict> take(quota_subject subject, double cost);
 
-    /// Sends what is due; to be called several times a second.
+    /// Sends all due messages; to be called several times a second.
     void tick();
 
-    /// @return the bytes of an answer to the sender, or none
+    /// Handles a message of a peer.
+    /// @return the encoded response to the sender; empty: none
     [[nodiscard]] std::string receive(const quota_message& message);
 
 private:
     [[nodiscard]] static absl::Time now();
     [[nodiscard]] std::string describe(const quota_claim& claim) const;
     void send(const addressed_quota_message& message) const;
-    void log_pools();
+    void log_rejections();
 
     asio::io_context& m_context;
     shared_quota m_quota;
     sender m_send;
-    /// Requests that wait for an answer, by the sequence of the ask.
-    std::map<std::int64_t, std::shared_ptr<async_event>> m_waiting;
-    std::map<workspace_id, double> m_logged_refused;
+    /// Requests that wait for a keeper's response, by sequence number.
+    std::map<std::int64_t, std::shared_ptr<async_event>> m_pending_requests;
+    std::map<workspace_id, double> m_logged_rejections;
 };
 
 } // namespace daleshelf
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -120,7 +120,7 @@
             m_tenant->counts_tokens ? static_cast<double>(tokens) : 1.0;
         auto verdict =
             co_await m_state.quota.take(m_tenant->name, m_quota_cost);
-        m_quota_verdict = std::move(verdict.how);
+        m_quota_verdict = std::move(verdict.explanation);
         if (!verdict.is_within)
         {
             const auto wait =
--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -99,7 +99,7 @@
                   : !must_wait(print);
     if (m_state.poison.has_unsent())
     {
-        m_state.poison_news.notify();
+        m_state.poison_updates.notify();
     }
     if (may_go)
     {
@@ -145,7 +145,7 @@
     if (m_suspect)
     {
         m_state.poison.record_response(m_suspect->fingerprint, given, now);
-        m_state.poison_news.notify();
+        m_state.poison_updates.notify();
     }
     else
     {
--- a/services/gateway/rollout_service.cpp
+++ b/services/gateway/rollout_service.cpp
@@ -14,20 +14,22 @@
 namespace
 {
 
-constexpr milliseconds tick{250};
-constexpr milliseconds store_time{700};
-// A host that has heard no word for this long reads how the order stands, and
-// again after this time: two calls a second of a fleet of 70 without a holder.
-constexpr absl::Duration silence_time = absl::Seconds(2);
-constexpr absl::Duration read_pause = absl::Seconds(5);
-// What is in the first list of the operator's records is older than the host.
-constexpr absl::Duration start_time = absl::Seconds(2);
-// Hosts tell what they count with each fourth word, and at once what the target
-// has answered.
-constexpr std::int64_t words_a_report = 4;
-// The end of an order is told on for this long: longer than states need to go
-// round a fleet of 295, for hosts that stood still meanwhile.
-constexpr absl::Duration end_told_time = absl::Seconds(10);
+constexpr milliseconds step_interval{250};
+constexpr milliseconds store_timeout{700};
+// A host that has received no announcement for `silence_limit` reads the status
+// of the order, and repeats this every `read_interval`: a fleet of 70 hosts
+// without a holder makes two calls a second.
+constexpr absl::Duration silence_limit = absl::Seconds(2);
+constexpr absl::Duration read_interval = absl::Seconds(5);
+// An order that is seen this soon after the start comes from the first list of
+// the operator's records and is older than the process.
+constexpr absl::Duration startup_time = absl::Seconds(2);
+// Hosts report their counts on every fourth announcement, and at once if the
+// target version has responded.
+constexpr std::int64_t announcements_per_report = 4;
+// The outcome of an order is announced for this long: longer than gossip takes
+// to reach a fleet of 295 hosts, so that hosts that were paused receive it too.
+constexpr absl::Duration outcome_announcement_time = absl::Seconds(10);
 
 std::string_view phase_name(rollout_phase phase)
 {
@@ -54,7 +56,7 @@
     , m_started_at(gateway_state::now())
 {
     peers.set_rollout_listener([this](std::string_view bytes)
-                               { return take(bytes); });
+                               { return receive(bytes); });
 }
 
 void rollout_service::start()
@@ -68,78 +70,80 @@
     boot_timer timer(m_state.context);
     while (true)
     {
-        timer.expires_after(tick);
+        timer.expires_after(step_interval);
         co_await timer.async_wait(use_result);
         const auto services = m_state.servers.versions().ordered_services();
         for (const auto& service : services)
         {
-            co_await tend(service);
+            co_await advance(service);
         }
-        if (const auto token = m_duties.token())
+        if (const auto token = m_duties.fencing_token())
         {
-            tell_ends(*token);
+            announce_finished(*token);
         }
     }
 }
 
-awaitable<void> rollout_service::tend(const service_name& service)
+awaitable<void> rollout_service::advance(const service_name& service)
 {
     const auto& versions = m_state.servers.versions();
     if (!m_state.rollouts.is_watching(service))
     {
-        m_led.erase(service);
+        m_led_orders.erase(service);
         co_return;
     }
-    // The order may be replaced while the store is asked.
+    // A copy: the order may be replaced during the call to the store.
     const auto order = *versions.order_of(service);
-    if (const auto token = m_duties.token())
+    if (const auto token = m_duties.fencing_token())
     {
         co_await lead(order, *token);
         co_return;
     }
-    m_led.erase(service);
+    m_led_orders.erase(service);
     co_await follow(order);
 }
 
-// Steps of the holder of the duties.
+// Executes the next step of an order as the holder of the duties.
 awaitable<void> rollout_service::lead(const rollout_order& order,
                                       std::int64_t token)
 {
-    const auto at = m_led.find(order.service);
-    const bool is_begun = at != m_led.end() && at->second.token == token &&
-                          at->second.plan.order() == order;
-    if (!is_begun)
+    const auto current = m_led_orders.find(order.service);
+    const bool is_started = current != m_led_orders.end() &&
+                            current->second.token == token &&
+                            current->second.plan.order() == order;
+    if (!is_started)
     {
-        const bool may_lead = co_await begin(order, token);
-        if (!may_lead)
+        const bool is_leader = co_await start_order(order, token);
+        if (!is_leader)
         {
             co_return;
         }
     }
-    const auto led = m_led.find(order.service);
-    if (led == m_led.end())
+    const auto leading = m_led_orders.find(order.service);
+    if (leading == m_led_orders.end())
     {
         co_return;
     }
     if (const auto own = m_state.rollouts.report(order.service))
     {
-        led->second.plan.take(*own);
+        leading->second.plan.take(*own);
     }
-    const auto step = led->second.plan.next(gateway_state::now());
-    log_step(led->second, step);
-    tell(order, rollout_phase::running, step.share, token);
+    const auto step = leading->second.plan.next(gateway_state::now());
+    log_step(leading->second, step);
+    announce(order, rollout_phase::running, step.share, token);
     if (step.end)
     {
-        co_await finish(order, *step.end);
+        co_await finish_order(order, *step.end);
     }
 }
 
-// 1. What earlier holders have written; 2. that the order runs, and since when.
-// @return whether this host may carry it out
-awaitable<bool> rollout_service::begin(const rollout_order& order,
-                                       std::int64_t token)
+// Reads what earlier holders have written, then writes that the order is
+// running and since when.
+// @return whether this host may execute the order
+awaitable<bool> rollout_service::start_order(const rollout_order& order,
+                                             std::int64_t token)
 {
-    m_led.erase(order.service);
+    m_led_orders.erase(order.service);
     const bool is_read = co_await read_statuses();
     if (!is_read || !m_state.rollouts.is_watching(order.service))
     {
@@ -160,38 +164,38 @@
     const auto age = m_state.time_of_day() - status->ordered_at;
     const rollout_bound bound{m_state.settings.rollout_share,
                               m_state.settings.rollout_slack};
-    m_led.insert_or_assign(
+    m_led_orders.insert_or_assign(
         order.service,
         led_order{rollout_plan(order, gateway_state::now() - age, bound), token,
                   ""});
     co_return true;
 }
 
-// Steps of any other host: how the order stands is read only while nobody
-// tells.
+// Follows an order as any other host: reads its status from the store only
+// while no announcements arrive.
 awaitable<void> rollout_service::follow(const rollout_order& order)
 {
     const auto now = gateway_state::now();
-    const auto [known, is_new] = m_known_since.try_emplace(order.offset, now);
+    const auto [known, is_new] = m_first_seen_at.try_emplace(order.offset, now);
     const auto heard_at =
         std::max(known->second, m_state.rollouts.heard_at(order.service));
-    // An order that is found at the start may have ended long ago.
-    const bool is_old = is_new && now - m_started_at < start_time;
-    const bool is_told = now - heard_at < silence_time;
-    if (!is_old && (is_told || now - m_read_at < read_pause))
+    // An order that is found at startup may have finished long ago.
+    const bool is_old = is_new && now - m_started_at < startup_time;
+    const bool hears_holder = now - heard_at < silence_limit;
+    if (!is_old && (hears_holder || now - m_statuses_read_at < read_interval))
     {
         co_return;
     }
-    m_read_at =
+    m_statuses_read_at =
         now + absl::Milliseconds(absl::Uniform(m_state.random, 0, 1000));
     co_await read_statuses();
 }
 
-awaitable<void> rollout_service::finish(const rollout_order& order,
-                                        rollout_phase phase)
+awaitable<void> rollout_service::finish_order(const rollout_order& order,
+                                              rollout_phase phase)
 {
     auto status = status_of(order);
-    if (!status || !m_duties.token())
+    if (!status || !m_duties.fencing_token())
     {
         co_return;
     }
@@ -199,38 +203,38 @@
     const bool is_written = co_await write(*status);
     if (!is_written)
     {
-        // Another holder may have written since: its word counts.
-        m_led.erase(order.service);
+        // Another holder may have written meanwhile; its record prevails.
+        m_led_orders.erase(order.service);
         co_return;
     }
     auto& versions = m_state.servers.versions();
     const auto now = gateway_state::now();
     if (versions.set_phase(order.service, order.offset, phase, now))
     {
-        // Old servers end as soon as the operator has read it.
-        tell(order, phase, 0, m_led.at(order.service).token);
-        m_told_until[order.service] = now + end_told_time;
-        m_led.erase(order.service);
+        // Old upstreams stop as soon as the operator has read the status.
+        announce(order, phase, 0, m_led_orders.at(order.service).token);
+        m_announced_until[order.service] = now + outcome_announcement_time;
+        m_led_orders.erase(order.service);
     }
 }
 
 awaitable<bool> rollout_service::read_statuses()
 {
     const auto listed = co_await list_topic(
-        m_store, std::string(platform::status_topic), store_time);
+        m_store, std::string(platform::status_topic), store_timeout);
     if (!listed)
     {
         co_return false;
     }
     for (const auto& record : listed->records)
     {
-        take_status(record);
+        apply_status(record);
     }
-    m_status_end = listed->end;
+    m_status_topic_end = listed->end;
     co_return true;
 }
 
-void rollout_service::take_status(const platform::keyed_record& record)
+void rollout_service::apply_status(const platform::keyed_record& record)
 {
     const auto service = platform::rollout_service(record.key);
     if (!service || !record.value)
@@ -269,25 +273,25 @@
     return known->second;
 }
 
-// A holder that was replaced writes nothing: the topic does not end any more
-// where it believes.
+// The append is conditional on the end of the topic, so that a holder that has
+// been replaced cannot write.
 awaitable<bool> rollout_service::write(const rollout_status& status)
 {
-    if (!m_status_end)
+    if (!m_status_topic_end)
     {
         co_return false;
     }
-    const auto at = *m_status_end;
-    m_status_end.reset();
+    const auto at = *m_status_topic_end;
+    m_status_topic_end.reset();
     auto call = platform::append_call(
         platform::status_topic,
         {platform::encode_keyed(platform::rollout_key(status.service),
                                 platform::write_rollout_status(status))},
         at);
-    const auto answer = co_await m_store.call(std::move(call), store_time);
+    const auto response = co_await m_store.call(std::move(call), store_timeout);
     const auto result =
-        answer ? platform::read_append(answer->status, answer->body)
-               : platform::append_answer();
+        response ? platform::read_append(response->status, response->body)
+                 : platform::append_answer();
     const bool is_written =
         result.state == platform::append_answer::outcome::appended;
     log(events::rollout_written,
@@ -299,102 +303,107 @@
          {"outcome", is_written ? "written" : "not_written"}});
     if (is_written)
     {
-        m_status_end = at.next();
+        m_status_topic_end = at.next();
         m_statuses[status.service] = status;
     }
     co_return is_written;
 }
 
-std::string rollout_service::take(std::string_view bytes)
+std::string rollout_service::receive(std::string_view bytes)
 {
     if (format_of(bytes) == datagram_format::rollout_word)
     {
-        return take_word(bytes);
+        return receive_announcement(bytes);
     }
-    take_report(bytes);
+    receive_report(bytes);
     return "";
 }
 
-// @return this host's report, if it is due
-std::string rollout_service::take_word(std::string_view bytes)
+// @return the report of this host, if due; otherwise empty
+std::string rollout_service::receive_announcement(std::string_view bytes)
 {
-    const auto word = decode_rollout_word(bytes);
-    if (!word || !m_state.rollouts.hear(*word, gateway_state::now()))
+    const auto announcement = decode_rollout_word(bytes);
+    if (!announcement ||
+        !m_state.rollouts.hear(*announcement, gateway_state::now()))
     {
         return "";
     }
-    const bool is_due = word->sequence % words_a_report == 0 ||
-                        m_state.rollouts.has_news(word->service);
-    if (word->phase != rollout_phase::running || !is_due)
+    const bool is_due =
+        announcement->sequence % announcements_per_report == 0 ||
+        m_state.rollouts.has_news(announcement->service);
+    if (announcement->phase != rollout_phase::running || !is_due)
     {
         return "";
     }
-    const auto report = m_state.rollouts.report(word->service);
+    const auto report = m_state.rollouts.report(announcement->service);
     return report ? encode(*report) : "";
 }
 
-void rollout_service::take_report(std::string_view bytes)
+void rollout_service::receive_report(std::string_view bytes)
 {
     const auto report = decode_rollout_report(bytes);
     if (!report)
     {
         return;
     }
-    const auto led = m_led.find(report->service);
-    if (led != m_led.end())
+    const auto leading = m_led_orders.find(report->service);
+    if (leading != m_led_orders.end())
     {
-        led->second.plan.take(*report);
+        leading->second.plan.take(*report);
     }
 }
 
-void rollout_service::tell(const rollout_order& order, rollout_phase phase,
-                           double share, std::int64_t token)
+void rollout_service::announce(const rollout_order& order, rollout_phase phase,
+                               double share, std::int64_t token)
 {
-    const rollout_word word{m_state.self, order.service, order.offset, phase,
-                            share,        token,         ++m_sequence};
-    m_state.rollouts.hear(word, gateway_state::now());
-    m_peers.tell_all(encode(word));
+    const rollout_word announcement{m_state.self, order.service, order.offset,
+                                    phase,        share,         token,
+                                    ++m_sequence};
+    m_state.rollouts.hear(announcement, gateway_state::now());
+    m_peers.tell_all(encode(announcement));
 }
 
-void rollout_service::tell_ends(std::int64_t token)
+void rollout_service::announce_finished(std::int64_t token)
 {
     const auto now = gateway_state::now();
     const auto& versions = m_state.servers.versions();
-    for (const auto& [service, until] : m_told_until)
+    for (const auto& [service, until] : m_announced_until)
     {
         const auto* order = versions.order_of(service);
         const auto phase = versions.phase_of(service);
         if (now < until && order != nullptr && phase)
         {
-            tell(*order, *phase, 0, token);
+            announce(*order, *phase, 0, token);
         }
     }
 }
 
-// One line a step; the share goes with what was seen, a little each time.
-void rollout_service::log_step(led_order& led, const rollout_step& step)
+// Logs one line per step. The share alone is no new step: it changes slightly
+// with the requests that were counted.
+void rollout_service::log_step(led_order& leading, const rollout_step& step)
 {
-    const bool is_told = step.reason == led.reason && !step.end;
-    if (is_told)
+    const bool is_logged = step.reason == leading.reason && !step.end;
+    if (is_logged)
     {
         return;
     }
-    led.reason = step.reason;
-    const auto seen = led.plan.seen();
-    const auto found = led.plan.judge().verdict();
+    leading.reason = step.reason;
+    const auto tallies = leading.plan.seen();
+    const auto version_verdict = leading.plan.judge().verdict();
     log(events::rollout_step,
-        {{"service", led.plan.order().service.value()},
-         {"target", led.plan.order().target.value()},
-         {"order", std::to_string(led.plan.order().offset.value())},
+        {{"service", leading.plan.order().service.value()},
+         {"target", leading.plan.order().target.value()},
+         {"order", std::to_string(leading.plan.order().offset.value())},
          {"share", std::to_string(step.share)},
          {"end", step.end ? std::string(phase_name(*step.end)) : ""},
          {"reason", step.reason},
-         {"sent_old", std::to_string(seen.sent_old)},
-         {"sent_target", std::to_string(seen.sent_target)},
-         {"answers", std::to_string(static_cast<std::int64_t>(found.answers))},
-         {"against", std::to_string(found.strongest)},
-         {"proof", found.proof},
-         {"token", std::to_string(led.token)}});
+         {"sent_old", std::to_string(tallies.sent_old)},
+         {"sent_target", std::to_string(tallies.sent_target)},
+         {"answers",
+          std::to_string(static_cast<std::int64_t>(version_verdict.answers))},
+         {"against", std::to_string(version_verdict.strongest)},
+         {"proof", version_verdict.proof},
+         {"token", std::to_string(leading.token)}});
 }
 
 } // namespace daleshelf
--- a/services/gateway/rollout_service.hpp
+++ b/services/gateway/rollout_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Carrying out the operator's roll-outs.
+/// Execution of the roll-outs that operators order.
 #pragma once
 
 #include "duty_service.hpp"
@@ -15,10 +15,11 @@
 namespace daleshelf
 {
 
-/// Tells all hosts, while this one holds the duties, what part of the requests
-/// goes to the target of an order, takes their reports, and writes how the
-/// order ends. Other hosts answer the holder's words, and read the end from the
-/// store when they hear none. See docs/design/rollouts.md.
+/// While this host holds the duties, announces to all hosts the fraction of
+/// requests that goes to the target version of an order, collects their
+/// reports, and writes the outcome of the order. Other hosts respond to the
+/// holder's announcements, and read the outcome from the store if they receive
+/// none. See docs/design/rollouts.md.
 class rollout_service
 {
 public:
@@ -28,47 +29,49 @@
     void start();
 
 private:
-    /// An order that this host carries out as the holder of the duties.
+    /// An order that this host executes as the holder of the duties.
     struct led_order
     {
         rollout_plan plan;
-        std::int64_t token = -1; ///< under which it was begun
-        std::string reason;      ///< of the last step, as logged
+        std::int64_t token = -1; ///< fencing token at the start of the order
+        std::string reason;      ///< reason of the last logged step
     };
 
     awaitable<void> run();
-    awaitable<void> tend(const service_name& service);
+    awaitable<void> advance(const service_name& service);
     awaitable<void> lead(const rollout_order& order, std::int64_t token);
-    awaitable<bool> begin(const rollout_order& order, std::int64_t token);
+    awaitable<bool> start_order(const rollout_order& order, std::int64_t token);
     awaitable<void> follow(const rollout_order& order);
-    awaitable<void> finish(const rollout_order& order, rollout_phase phase);
+    awaitable<void> finish_order(const rollout_order& order,
+                                 rollout_phase phase);
     awaitable<bool> read_statuses();
     awaitable<bool> write(const rollout_status& status);
-    void take_status(const platform::keyed_record& record);
+    void apply_status(const platform::keyed_record& record);
     [[nodiscard]] std::optional<rollout_status>
     status_of(const rollout_order& order) const;
-    [[nodiscard]] std::string take(std::string_view bytes);
-    [[nodiscard]] std::string take_word(std::string_view bytes);
-    void take_report(std::string_view bytes);
-    void tell(const rollout_order& order, rollout_phase phase, double share,
-              std::int64_t token);
-    void tell_ends(std::int64_t token);
+    [[nodiscard]] std::string receive(std::string_view bytes);
+    [[nodiscard]] std::string receive_announcement(std::string_view bytes);
+    void receive_report(std::string_view bytes);
+    void announce(const rollout_order& order, rollout_phase phase, double share,
+                  std::int64_t token);
+    void announce_finished(std::int64_t token);
     void log_step(led_order& led, const rollout_step& step);
 
     gateway_state& m_state;
     peer_exchange& m_peers;
     duty_service& m_duties;
     http_caller m_store;
-    std::map<service_name, led_order> m_led;
+    std::map<service_name, led_order> m_led_orders;
     std::map<service_name, rollout_status> m_statuses; ///< as last read
-    std::optional<log_offset> m_status_end; ///< of the topic; none: not read
+    /// End of the status topic; none: not read.
+    std::optional<log_offset> m_status_topic_end;
     absl::Time m_started_at;
-    absl::Time m_read_at = absl::InfinitePast();
-    /// When orders were first seen here.
-    std::map<log_offset, absl::Time> m_known_since;
+    absl::Time m_statuses_read_at = absl::InfinitePast();
+    /// When this host first saw each order.
+    std::map<log_offset, absl::Time> m_first_seen_at;
     std::int64_t m_sequence = 0;
-    /// Orders that ended lately here, and until when all are told so.
-    std::map<service_name, absl::Time> m_told_until;
+    /// Until when the outcome of finished orders is announced.
+    std::map<service_name, absl::Time> m_announced_until;
 };
 
 } // namespace daleshelf
--- a/services/gateway/scale_service.cpp
+++ b/services/gateway/scale_service.cpp
@@ -11,18 +11,18 @@
 namespace
 {
 
-constexpr milliseconds tick{500};
-constexpr absl::Duration demand_memory = absl::Seconds(8);
-// Fewer servers are ordered only after the need has been lower for this long.
-constexpr absl::Duration patience = absl::Seconds(8);
-constexpr absl::Duration dry_time = absl::Seconds(4);
-// Before any demand is known the operator's fleet is taken for ample: these
-// parts of it count as needed.
-constexpr double assumed_usual_part = 0.5;
-constexpr double assumed_least_part = 0.33;
-// Demand is known once there has been some for this long.
+constexpr milliseconds planning_interval{500};
+constexpr absl::Duration demand_peak_window = absl::Seconds(8);
+// The count is lowered only after the need has been lower for this long.
+constexpr absl::Duration scale_in_delay = absl::Seconds(8);
+constexpr absl::Duration conflict_back_off = absl::Seconds(4);
+// Before any demand is known, the fleet that the operator has set up is assumed
+// to be ample: these fractions of it count as the usual and the minimum need.
+constexpr double assumed_usual_fraction = 0.5;
+constexpr double assumed_minimum_fraction = 0.33;
+// Demand counts as known this long after it was first seen.
 constexpr absl::Duration learning_time = absl::Seconds(8);
-// Longer than servers take to be listed one after the other.
+// Longer than the interval at which upstreams appear in the list one by one.
 constexpr absl::Duration list_settle_time = absl::Milliseconds(2500);
 
 } // namespace
@@ -52,12 +52,12 @@
     boot_timer timer(m_state.context);
     while (true)
     {
-        timer.expires_after(tick);
+        timer.expires_after(planning_interval);
         co_await timer.async_wait(use_result);
-        note_demand();
-        if (!m_duties.token())
+        update_demand();
+        if (!m_duties.fencing_token())
         {
-            // Whoever holds the duties next may order something else.
+            // The next holder of the duties may place different orders.
             m_orders.clear();
             continue;
         }
@@ -73,18 +73,18 @@
     const auto routes = m_state.routes;
     for (const auto& service : routes->configuration().services)
     {
-        if (!service.scaling.is_scalable || !may_order(service.name))
+        if (!service.scaling.is_scalable || !can_order(service.name))
         {
             continue;
         }
         const auto now = gateway_state::now();
         std::map<hall_id, int> spot_limit;
-        for (const auto& [subject, known] : m_orders)
+        for (const auto& [group, known] : m_orders)
         {
-            if (subject.service == service.name && now < known.dry_until)
+            if (group.service == service.name && now < known.unavailable_until)
             {
-                // Those that were taken away do not come back for now.
-                spot_limit[subject.hall] = present_servers(subject);
+                // Reclaimed spot upstreams are not available again yet.
+                spot_limit[group.hall] = present_servers(group);
             }
         }
         const scale_options options{
@@ -94,36 +94,37 @@
         const auto need = need_of(service);
         const auto plan =
             plan_servers(service.scaling, need, spot_limit, options);
-        auto removes = removal_for(service.name, need);
+        auto removals = removal_for(service.name, need);
         for (const auto& [hall, target] : plan)
         {
-            // Spot first: they come while the others still serve.
-            const order_wanted spot{{service.name, hall, true}, target.spot};
-            co_await order(service, need, removes, spot);
-            const order_wanted on_demand{{service.name, hall, false},
+            // Spot orders first: they start while the others still serve.
+            const wanted_order spot{{service.name, hall, true}, target.spot};
+            co_await place_order(service, need, removals, spot);
+            const wanted_order on_demand{{service.name, hall, false},
                                          target.on_demand};
-            co_await order(service, need, removes, on_demand);
+            co_await place_order(service, need, removals, on_demand);
         }
     }
 }
 
-// @param service as the plan was made for it; a newer configuration may come
-// while an order is on its way
-awaitable<void> scale_service::order(const ingress_service& service,
-                                     const server_need& need, removal& removes,
-                                     const order_wanted& wanted)
+// @param service the configuration that the plan was made for; a newer one may
+// arrive during the call
+awaitable<void> scale_service::place_order(const ingress_service& service,
+                                           const server_need& need,
+                                           removal& removals,
+                                           const wanted_order& wanted)
 {
-    const auto& subject = wanted.subject;
+    const auto& group = wanted.group;
     auto count = wanted.count;
-    const auto [entry, is_new] = m_orders.try_emplace(subject);
+    const auto [entry, is_new] = m_orders.try_emplace(group);
     auto& known = entry->second;
     const auto now = gateway_state::now();
     if (is_new && is_demand_known(service.name))
     {
-        known.count = taken_as_ordered(present_servers(subject), count);
+        known.count = taken_as_ordered(present_servers(group), count);
     }
     const auto boot_time = absl::FromChrono(service.scaling.boot_time);
-    if (has_lost_servers(subject, known, now - lost_after(boot_time)))
+    if (has_lost_servers(group, known, now - lost_after(boot_time)))
     {
         known.count = nothing_ordered;
     }
@@ -133,23 +134,24 @@
     }
     if (count < known.count)
     {
-        count = removes.leave(staying_servers(subject), count);
+        count = removals.leave(retained_servers(group), count);
         if (count >= known.count)
         {
             co_return;
         }
     }
-    auto call = platform::scale_call(
-        {subject.service, subject.hall, count, subject.is_spot});
-    const auto answer = co_await m_duties.call(m_platform, std::move(call));
-    if (!answer)
+    auto call =
+        platform::scale_call({group.service, group.hall, count, group.is_spot});
+    const auto response =
+        co_await m_duties.call_as_holder(m_platform, std::move(call));
+    if (!response)
     {
         co_return;
     }
-    const auto status = answer->status;
+    const auto status = response->status;
     if (status == http_status::conflict)
     {
-        known.dry_until = gateway_state::now() + dry_time;
+        known.unavailable_until = gateway_state::now() + conflict_back_off;
     }
     else if (status >= http_status::ok && status < http_status::bad_request)
     {
@@ -157,22 +159,22 @@
         known.ordered_at = gateway_state::now();
         known.lower_since = absl::InfiniteFuture();
     }
-    log_order(need, {subject, count, status, answer->token});
+    log_order(need, {group, count, status, response->token});
 }
 
 void scale_service::log_order(const server_need& need,
-                              const order_sent& sent) const
+                              const sent_order& sent) const
 {
-    const auto& subject = sent.subject;
-    const auto load = m_services.at(subject.service).meter.peak();
+    const auto& group = sent.group;
+    const auto load = m_services.at(group.service).meter.peak();
     const auto& models = m_state.engines.all();
-    const auto model = models.find(subject.service);
+    const auto model = models.find(group.service);
     const auto engine =
         model == models.end() ? engine_estimate{} : model->second.joint();
     log(events::servers_ordered,
-        {{"service", subject.service.value()},
-         {"hall", subject.hall.value()},
-         {"kind", subject.is_spot ? "spot" : "on_demand"},
+        {{"service", group.service.value()},
+         {"hall", group.hall.value()},
+         {"kind", group.is_spot ? "spot" : "on_demand"},
          {"count", std::to_string(sent.count)},
          {"usual", std::to_string(need.usual)},
          {"least", std::to_string(need.least)},
@@ -194,7 +196,7 @@
 
 bool scale_service::is_due(order_state& known, int count, absl::Time now) const
 {
-    if (now < known.dry_until || count == known.count)
+    if (now < known.unavailable_until || count == known.count)
     {
         known.lower_since = absl::InfiniteFuture();
         return false;
@@ -204,12 +206,12 @@
         return true;
     }
     known.lower_since = std::min(known.lower_since, now);
-    return now - known.lower_since >= patience;
+    return now - known.lower_since >= scale_in_delay;
 }
 
-// @param started_by servers ordered before this have had the time to start
-// @return whether fewer are there than were ordered by then
-bool scale_service::has_lost_servers(const order_subject& subject,
+// @param started_by upstreams ordered before this time should have started
+// @return whether fewer upstreams are present than were ordered by then
+bool scale_service::has_lost_servers(const upstream_group& group,
                                      const order_state& known,
                                      absl::Time started_by) const
 {
@@ -217,14 +219,15 @@
     {
         return false;
     }
-    return present_servers(subject) < known.count;
+    return present_servers(group) < known.count;
 }
 
-// Servers that are there, without those whose order was lowered already.
-int scale_service::staying_servers(const order_subject& subject) const
+// Number of upstreams that are present, without those that a placed order
+// removes.
+int scale_service::retained_servers(const upstream_group& group) const
 {
-    const auto present = present_servers(subject);
-    const auto known = m_orders.find(subject);
+    const auto present = present_servers(group);
+    const auto known = m_orders.find(group);
     const bool is_ordered = known != m_orders.end() && known->second.count >= 0;
     return is_ordered ? std::min(present, known->second.count) : present;
 }
@@ -236,18 +239,18 @@
     for (const auto& [hall, price] :
          m_state.routes->find_service(service)->scaling.hall_prices)
     {
-        staying += staying_servers({service, hall, true}) +
-                   staying_servers({service, hall, false});
+        staying += retained_servers({service, hall, true}) +
+                   retained_servers({service, hall, false});
     }
     return {staying, need.usual};
 }
 
-int scale_service::present_servers(const order_subject& subject) const
+int scale_service::present_servers(const upstream_group& group) const
 {
     int present = 0;
-    for (const auto* server : m_state.servers.usable(subject.service))
+    for (const auto* server : m_state.servers.usable(group.service))
     {
-        if (server->hall == subject.hall && server->is_spot == subject.is_spot)
+        if (server->hall == group.hall && server->is_spot == group.is_spot)
         {
             ++present;
         }
@@ -255,7 +258,7 @@
     return present;
 }
 
-void scale_service::note_demand()
+void scale_service::update_demand()
 {
     if (m_state.routes == nullptr || !m_state.has_servers)
     {
@@ -266,20 +269,21 @@
     {
         if (service.scaling.is_scalable)
         {
-            note_demand(service, now);
+            update_demand(service, now);
         }
     }
 }
 
-void scale_service::note_demand(const ingress_service& service, absl::Time now)
+void scale_service::update_demand(const ingress_service& service,
+                                  absl::Time now)
 {
-    const service_demand fresh{demand_meter(demand_memory),
-                               initial_fleet(list_settle_time)};
-    auto& known = m_services.try_emplace(service.name, fresh).first->second;
+    const service_demand initial{demand_meter(demand_peak_window),
+                                 initial_fleet(list_settle_time)};
+    auto& known = m_services.try_emplace(service.name, initial).first->second;
     known.meter.note(m_peers.work_of_all(service.name), now);
     if (known.meter.peak().prompts > 0)
     {
-        known.since = std::min(known.since, now);
+        known.demand_since = std::min(known.demand_since, now);
     }
     const auto present = m_state.servers.usable(service.name).size();
     known.fleet.note(static_cast<int>(present), now);
@@ -289,12 +293,12 @@
 {
     const auto known = m_services.find(service);
     return known != m_services.end() &&
-           known->second.since + learning_time < gateway_state::now();
+           known->second.demand_since + learning_time < gateway_state::now();
 }
 
-// An order made while the list of servers is still filling would take away
-// servers that are not listed yet.
-bool scale_service::may_order(const service_name& service) const
+// An order that is placed while the list of upstreams is still filling would
+// remove upstreams that are not listed yet.
+bool scale_service::can_order(const service_name& service) const
 {
     const auto known = m_services.find(service);
     return known != m_services.end() &&
@@ -310,12 +314,12 @@
     {
         return need;
     }
-    const auto part_of_fleet = [&](double part) {
+    const auto fleet_part = [&](double part) {
         return static_cast<int>(
             std::ceil(known->second.fleet.servers() * part));
     };
-    need.usual = std::max(need.usual, part_of_fleet(assumed_usual_part));
-    need.least = std::max(need.least, part_of_fleet(assumed_least_part));
+    need.usual = std::max(need.usual, fleet_part(assumed_usual_fraction));
+    need.least = std::max(need.least, fleet_part(assumed_minimum_fraction));
     return need;
 }
 
@@ -361,7 +365,8 @@
     return limits;
 }
 
-// The shortest pause that any route of the service asks for.
+// @return the shortest gap objective among the routes of the service, in ms; 0:
+// none
 double scale_service::gap_objective_ms(const service_name& service) const
 {
     double shortest = 0;
--- a/services/gateway/scale_service.hpp
+++ b/services/gateway/scale_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Orders servers as the duty of one gateway at a time.
+/// Scaling of services, as a duty of one gateway at a time.
 #pragma once
 
 #include "duty_service.hpp"
@@ -17,8 +17,8 @@
 namespace daleshelf
 {
 
-/// Plans the servers of each service that can be scaled, and orders what
-/// differs from what it has ordered before.
+/// Plans the number of upstreams of each scalable service, and sends the
+/// platform orders where the plan differs from earlier orders.
 class scale_service
 {
 public:
@@ -28,15 +28,15 @@
     void start();
 
 private:
-    /// What an order is about.
-    struct order_subject
+    /// Upstreams of one service, hall and purchase kind (spot or on demand).
+    struct upstream_group
     {
         service_name service;
         hall_id hall;
         bool is_spot = false;
 
-        friend auto operator<=>(const order_subject&,
-                                const order_subject&) = default;
+        friend auto operator<=>(const upstream_group&,
+                                const upstream_group&) = default;
     };
 
     struct order_state
@@ -44,66 +44,68 @@
         int count = nothing_ordered;
         absl::Time ordered_at = absl::InfinitePast();
         absl::Time lower_since = absl::InfiniteFuture();
-        absl::Time dry_until = absl::InfinitePast();
+        absl::Time unavailable_until = absl::InfinitePast();
     };
 
-    /// How many servers a subject is to have.
-    struct order_wanted
+    /// How many upstreams a group is to have.
+    struct wanted_order
     {
-        order_subject subject;
+        upstream_group group;
         int count = 0;
     };
 
-    /// One order and how the platform has answered it.
-    struct order_sent
+    /// One order and the response of the platform.
+    struct sent_order
     {
-        order_subject subject;
+        upstream_group group;
         int count = 0;
         int status = 0;
-        std::int64_t token = 0; ///< the fence that it went with
+        std::int64_t token = 0; ///< fencing token of the order
     };
 
-    /// What is known of one service that can be scaled.
+    /// Observed demand and fleet of one scalable service.
     struct service_demand
     {
         demand_meter meter;
         initial_fleet fleet;
-        absl::Time since = absl::InfiniteFuture(); ///< of the first demand
+        /// When demand was first seen.
+        absl::Time demand_since = absl::InfiniteFuture();
     };
 
     awaitable<void> run();
     awaitable<void> order_all();
-    awaitable<void> order(const ingress_service& service,
-                          const server_need& need, removal& removes,
-                          const order_wanted& wanted);
+    awaitable<void> place_order(const ingress_service& service,
+                                const server_need& need, removal& removals,
+                                const wanted_order& wanted);
     [[nodiscard]] removal removal_for(const service_name& service,
                                       const server_need& need) const;
-    [[nodiscard]] int staying_servers(const order_subject& subject) const;
+    [[nodiscard]] int retained_servers(const upstream_group& group) const;
     [[nodiscard]] bool is_due(order_state& known, int count,
                               absl::Time now) const;
-    [[nodiscard]] bool has_lost_servers(const order_subject& subject,
+    [[nodiscard]] bool has_lost_servers(const upstream_group& group,
                                         const order_state& known,
                                         absl::Time started_by) const;
-    /// @return servers of that kind that are listed and do not leave
-    [[nodiscard]] int present_servers(const order_subject& subject) const;
+    /// @return number of upstreams of the group that are listed and do not
+    /// drain
+    [[nodiscard]] int present_servers(const upstream_group& group) const;
     [[nodiscard]] server_need need_of(const ingress_service& service) const;
     [[nodiscard]] server_need
     measured_need(const ingress_service& service) const;
     [[nodiscard]] std::vector<double>
     limits_of(const service_name& service) const;
     [[nodiscard]] double gap_objective_ms(const service_name& service) const;
-    [[nodiscard]] bool may_order(const service_name& service) const;
+    [[nodiscard]] bool can_order(const service_name& service) const;
     [[nodiscard]] bool is_demand_known(const service_name& service) const;
-    void note_demand();
-    void note_demand(const ingress_service& service, absl::Time now);
-    void log_order(const server_need& need, const order_sent& sent) const;
+    void update_demand();
+    void update_demand(const ingress_service& service, absl::Time now);
+    void log_order(const server_need& need, const sent_order& sent) const;
 
     gateway_state& m_state;
     peer_exchange& m_peers;
     duty_service& m_duties;
     http_caller m_platform;
     std::map<service_name, service_demand> m_services;
-    std::map<order_subject, order_state> m_orders;
+    std::map<upstream_group, order_state> m_orders;
 };
 
 } // namespace daleshelf
--- a/services/gateway/server_ends.cpp
+++ b/services/gateway/server_ends.cpp
@@ -179,7 +179,7 @@
     const auto now = gateway_state::now();
     const auto& request = attempt.request;
     m_state.poison.record_crash(request, life, now - attempt.began, now);
-    m_state.poison_news.notify();
+    m_state.poison_updates.notify();
     const auto* record = m_state.poison.find(request.fingerprint);
     const auto servers = m_state.servers.usable(request.service).size();
     const auto ran_ms = absl::ToInt64Milliseconds(now - attempt.began);
--- a/services/gateway/topic_follower.cpp
+++ b/services/gateway/topic_follower.cpp
@@ -68,7 +68,7 @@
         note_answer(was_answered);
         if (was_answered)
         {
-            co_await m_wake.wait_for(m_state.change_pause);
+            co_await m_wake.wait_for(m_state.change_batch_delay);
             continue;
         }
         const auto pause = std::min(
--- a/tests/gateway/quota_service_test.cpp
+++ b/tests/gateway/quota_service_test.cpp
@@ -11,7 +11,7 @@
 const host_id keeper("keeper");
 const hall_id hall("here");
 
-/// A host that stops keeps no pool itself: it asks the keeper.
+/// A host that is stopping keeps no quota of its own and asks the keeper.
 shared_quota asking_quota()
 {
     shared_quota quota(host_id("self"), hall, incarnation(1), quota_options());
@@ -25,7 +25,7 @@
     return quota;
 }
 
-/// The service on a loop of the test's own.
+/// Runs the service on its own event loop.
 class quota_service_test : public testing::Test
 {
 protected:
@@ -64,10 +64,10 @@
         });
     const auto verdict = take(100);
     ASSERT_TRUE(verdict);
-    EXPECT_TRUE(verdict->is_within) << verdict->how;
+    EXPECT_TRUE(verdict->is_within) << verdict->explanation;
 }
 
-TEST_F(quota_service_test, a_part_that_is_granted_is_not_enough)
+TEST_F(quota_service_test, rejects_when_only_part_of_the_cost_is_granted)
 {
     m_service.set_sender(
         [this](const host_id&, const std::string& bytes)
@@ -83,21 +83,22 @@
     const auto verdict = take(100);
     ASSERT_TRUE(verdict);
     EXPECT_FALSE(verdict->is_within);
-    EXPECT_NE(verdict->how.find("collected 50, asked 1, answered 1"),
+    EXPECT_NE(verdict->explanation.find("collected 50, asked 1, answered 1"),
               std::string::npos)
-        << verdict->how;
+        << verdict->explanation;
 }
 
-TEST_F(quota_service_test, a_keeper_that_does_not_answer_ends_no_wait_for_good)
+TEST_F(quota_service_test, an_unresponsive_keeper_does_not_block_requests)
 {
     const auto verdict = take(100);
     ASSERT_TRUE(verdict);
     EXPECT_FALSE(verdict->is_within);
-    EXPECT_NE(verdict->how.find("asked 1, answered 0"), std::string::npos)
-        << verdict->how;
+    EXPECT_NE(verdict->explanation.find("asked 1, answered 0"),
+              std::string::npos)
+        << verdict->explanation;
 }
 
-TEST_F(quota_service_test, answers_the_asks_of_others)
+TEST_F(quota_service_test, responds_to_requests_of_peers)
 {
     quota_message ask;
     ask.kind = quota_message_kind::ask;
@@ -110,14 +111,14 @@
     ASSERT_TRUE(grant);
     EXPECT_EQ(grant->kind, quota_message_kind::grant);
     EXPECT_EQ(grant->answer_to, 5);
-    EXPECT_EQ(grant->amount, 0) << "nobody gave it anything";
+    EXPECT_EQ(grant->amount, 0) << "nothing was granted to this host";
 }
 
 class quota_path : public gateway_fixture
 {
 };
 
-TEST_F(quota_path, a_workspace_beyond_its_quota_is_told_when_to_come_back)
+TEST_F(quota_path, a_workspace_over_its_quota_gets_a_retry_delay)
 {
     const scripted_server server(
         [](test_connection& connection)
@@ -142,8 +143,8 @@
         });
     int served = 0;
     std::string refusal;
-    constexpr int most_requests = 40;
-    for (int number = 0; number < most_requests && refusal.empty(); ++number)
+    constexpr int request_limit = 40;
+    for (int number = 0; number < request_limit && refusal.empty(); ++number)
     {
         const auto answer = ask("/own/x", std::to_string(number));
         served += answer.ends_with("good") ? 1 : 0;
@@ -151,7 +152,8 @@
     }
     EXPECT_TRUE(refusal.starts_with("HTTP/1.1 429 ")) << refusal;
     EXPECT_NE(refusal.find("Retry-After: "), std::string::npos);
-    // A pool of this limit holds three, and the fourth overdraws it.
+    // The pool of this limit holds the cost of three requests; the fourth
+    // overdraws it.
     EXPECT_EQ(served, 4);
 }
 
--- a/tests/gateway/rollout_service_test.cpp
+++ b/tests/gateway/rollout_service_test.cpp
@@ -24,31 +24,31 @@
     return settings;
 }
 
-// The states of two roll-outs, in base64: `{}`, which is no state, and
+// The statuses of two roll-outs, in base64: `{}`, which is invalid, and
 // `{"state":"completed","targetVersion":"v2","order":7,"orderedAtMs":1}`.
-constexpr const char* states =
+constexpr const char* statuses =
     R"({"items":[{"privateKey":"rollout/another","value":"e30=","offset":0},)"
     R"({"privateKey":"rollout/engines","value":"eyJzdGF0ZSI6ImNvbXBsZXRlZCIs)"
     R"(InRhcmdldFZlcnNpb24iOiJ2MiIsIm9yZGVyIjo3LCJvcmRlcmVkQXRNcyI6MX0=",)"
     R"("offset":1}],"more":false,"end":2})";
 
-// One answer a connection: one that stays open would be waited for.
-void answer_with_states(test_connection& connection)
+// Sends one response per connection; the client would wait on an open one.
+void respond_with_statuses(test_connection& connection)
 {
     if (connection.read_message().empty())
     {
         return;
     }
-    const std::string body = states;
+    const std::string body = statuses;
     connection.send(concat("HTTP/1.1 200 OK\r\nContent-Length: ", body.size(),
                            "\r\n\r\n", body));
 }
 
-/// The parts of a gateway that carry roll-outs out, with nothing else running.
-class rollout_parts
+/// The components of a gateway that execute roll-outs, and nothing else.
+class rollout_components
 {
 public:
-    explicit rollout_parts(const std::string& store)
+    explicit rollout_components(const std::string& store)
         : m_state(m_context, make_settings(store))
     {
         auto& versions = m_state.servers.versions();
@@ -56,8 +56,8 @@
             {engines, version_name("v2"), absl::Seconds(14), order_offset});
     }
 
-    /// Runs until the order has ended, or nothing is left to be done.
-    void run_to_the_end()
+    /// Runs until the order has finished or the event loop has no work left.
+    void run_until_finished()
     {
         m_rollouts.start();
         bool is_busy = true;
@@ -84,13 +84,13 @@
     rollout_service m_rollouts{m_state, m_peers, m_duties};
 };
 
-// A host that starts reads how an order has ended. One state that cannot be
-// read must neither hide the others nor end the roll-outs of this host.
-TEST(rollout_service, a_state_that_cannot_be_read_hides_no_other)
+// A starting host reads the outcome of an order. A status that cannot be parsed
+// must neither hide the other statuses nor stop the roll-out service.
+TEST(rollout_service, an_unreadable_status_hides_no_other)
 {
-    const scripted_server store(answer_with_states);
-    rollout_parts parts(store.address());
-    parts.run_to_the_end();
+    const scripted_server store(respond_with_statuses);
+    rollout_components parts(store.address());
+    parts.run_until_finished();
     EXPECT_EQ(parts.phase(), rollout_phase::completed);
 }
 
--- a/tests/gateway/scale_service_test.cpp
+++ b/tests/gateway/scale_service_test.cpp
@@ -20,16 +20,16 @@
     return settings;
 }
 
-/// The parts of a gateway that order servers, with nothing else running.
-class ordering_parts
+/// The components of a gateway that order upstreams, and nothing else.
+class scaling_components
 {
 public:
-    explicit ordering_parts(bool orders_servers)
+    explicit scaling_components(bool orders_servers)
         : m_state(m_context, make_settings(orders_servers))
     {
     }
 
-    /// @return whether something waits for its time after the start
+    /// @return whether a timer is pending after the start
     bool is_busy_after_start()
     {
         m_scaling.start();
@@ -49,10 +49,10 @@
     scale_service m_scaling{m_state, m_peers, m_duties};
 };
 
-TEST(scale_service, orders_servers_only_if_it_may)
+TEST(scale_service, orders_servers_only_if_enabled)
 {
-    EXPECT_TRUE(ordering_parts(true).is_busy_after_start());
-    EXPECT_FALSE(ordering_parts(false).is_busy_after_start());
+    EXPECT_TRUE(scaling_components(true).is_busy_after_start());
+    EXPECT_FALSE(scaling_components(false).is_busy_after_start());
 }
 
 } // namespace
--- a/tests/gateway/suspension_test.cpp
+++ b/tests/gateway/suspension_test.cpp
@@ -1,6 +1,6 @@
-// A host that is suspended for ten seconds goes on, by the steady clock, as if
-// no time had passed: its lease looks held that another host has taken long
-// ago, and what it has heard looks new. That clock stands still meanwhile.
+// CLOCK_MONOTONIC does not advance while a host is suspended. A host that used
+// it would resume as if no time had passed: it would believe to hold a lease
+// that another host has acquired since, and treat stale peer states as fresh.
 #include "gateway_fixture.hpp"
 
 #include <base/suspension_watch.hpp>
@@ -11,7 +11,7 @@
 namespace
 {
 
-// Of all suspensions, in milliseconds: what the steady clock has not counted.
+// Total duration of all suspensions, which the steady clock does not count.
 std::atomic<std::int64_t> suspended_ms = 0;
 
 constexpr std::int64_t ns_per_ms = 1000000;
@@ -19,8 +19,8 @@
 
 } // namespace
 
-// Stands in for the system's: the steady clock lacks the suspensions, the other
-// clocks have them.
+// Replaces the system function: the steady clock excludes suspensions, the
+// other clocks include them.
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept
 {
     const auto result =
@@ -49,7 +49,7 @@
     }
 };
 
-TEST_F(suspension, counts_for_whatever_a_host_decides_by)
+TEST_F(suspension, is_included_in_decision_clocks)
 {
     const auto before = gateway_state::now();
     const auto day_before = m_state.time_of_day();
@@ -58,7 +58,7 @@
     EXPECT_GE(m_state.time_of_day() - day_before, absl::Seconds(10));
 }
 
-TEST_F(suspension, is_told_once_with_its_length)
+TEST_F(suspension, is_reported_once_with_its_duration)
 {
     suspension_watch watch;
     EXPECT_EQ(watch.take(), monotonic::duration(0));
@@ -67,22 +67,22 @@
     EXPECT_EQ(watch.take(), monotonic::duration(0));
 }
 
-// What a host does by the tick wakes it, and it sees what else is over.
-TEST_F(suspension, ends_waits_that_were_over_meanwhile)
+// Timers that wait out a suspension expire at the next tick of the event loop.
+TEST_F(suspension, expires_waits_that_were_due_meanwhile)
 {
-    bool is_over = false;
-    bool was_seen = false;
+    bool has_expired = false;
+    bool was_observed = false;
     std::promise<void> done;
     on_loop(
         [&]
         {
             asio::co_spawn(
                 m_context,
-                [this, &is_over]() -> awaitable<void>
+                [this, &has_expired]() -> awaitable<void>
                 {
                     async_event event(m_context.get_executor());
                     co_await event.wait_for(std::chrono::seconds(100));
-                    is_over = true;
+                    has_expired = true;
                 },
                 asio::detached);
             asio::co_spawn(
@@ -90,18 +90,18 @@
                 [&]() -> awaitable<void>
                 {
                     async_event tick(m_context.get_executor());
-                    for (int ticks = 0; ticks < 50 && !is_over; ++ticks)
+                    for (int ticks = 0; ticks < 50 && !has_expired; ++ticks)
                     {
                         co_await tick.wait_for(milliseconds(10));
                     }
-                    was_seen = is_over;
+                    was_observed = has_expired;
                     done.set_value();
                 },
                 asio::detached);
         });
     suspend(milliseconds(100000));
     done.get_future().wait();
-    EXPECT_TRUE(was_seen);
+    EXPECT_TRUE(was_observed);
 }
 
 } // namespace
