--- a/services/gateway/crash_detector.cpp
+++ b/services/gateway/crash_detector.cpp
@@ -186,7 +186,7 @@
     const auto now = gateway_state::now();
     const auto& request = attempt.request;
     m_state.poison.record_crash(request, instance, now - attempt.began, now);
-    m_state.poison_news.notify();
+    m_state.poison_updates.notify();
     const auto* record = m_state.poison.find(request.fingerprint);
     const auto servers = m_state.servers.usable(request.service).size();
     const auto ran_ms = absl::ToInt64Milliseconds(now - attempt.began);
--- a/services/gateway/peer_states.cpp
+++ b/services/gateway/peer_states.cpp
@@ -38,9 +38,9 @@
         // The requester's clock is ahead; it will repeat the request.
         return;
     }
-    m_table.merge_own_counts(m_state.usage.counts(), m_state.started);
+    m_table.merge_own_counts(m_state.usage.counts(), m_state.own_incarnation);
     window_counts response;
-    response.from = {m_state.self, m_state.started};
+    response.from = {m_state.self, m_state.own_incarnation};
     response.window = reported->window;
     response.counts = m_table.reported_counts(reported->window);
     send_datagram(sender, encode(response));
@@ -106,7 +106,7 @@
 {
     host_state state;
     state.self = {m_state.self, m_state.settings.peers_address};
-    state.started = m_state.started;
+    state.started = m_state.own_incarnation;
     state.sequence = ++m_sequence;
     state.hall = m_state.hall;
     state.wall_time_ms = absl::ToUnixMillis(wall_time());
@@ -128,9 +128,9 @@
             state.loads.push_back({server, load.active, load.unread_tokens});
         }
     }
-    m_table.merge_own_counts(m_state.usage.counts(), m_state.started);
+    m_table.merge_own_counts(m_state.usage.counts(), m_state.own_incarnation);
     state.counts = m_table.unsettled_windows(m_state.usage.counts());
-    state.relayed_counts = m_table.relayed_counts(m_state.started);
+    state.relayed_counts = m_table.relayed_counts(m_state.own_incarnation);
     state.known_hosts = next_known_hosts();
     state.fleet_size =
         static_cast<std::int64_t>(m_state.quota.shared().fleet_size());
--- a/services/gateway/request_poison.cpp
+++ b/services/gateway/request_poison.cpp
@@ -104,7 +104,7 @@
             : !must_wait(fingerprint);
     if (m_state.poison.has_unsent())
     {
-        m_state.poison_news.notify();
+        m_state.poison_updates.notify();
     }
     if (is_allowed)
     {
@@ -153,7 +153,7 @@
     if (m_suspect)
     {
         m_state.poison.record_response(m_suspect->fingerprint, evidence, now);
-        m_state.poison_news.notify();
+        m_state.poison_updates.notify();
     }
     else
     {
--- a/services/gateway/topic_follower.cpp
+++ b/services/gateway/topic_follower.cpp
@@ -69,7 +69,7 @@
         record_call_result(has_succeeded);
         if (has_succeeded)
         {
-            co_await m_wake.wait_for(m_state.change_pause);
+            co_await m_wake.wait_for(m_state.change_batch_delay);
             continue;
         }
         const auto backoff = std::min(
