--- a/services/gateway/duty_service.cpp
+++ b/services/gateway/duty_service.cpp
@@ -271,12 +271,12 @@
     const auto answer =
         co_await m_store.call(std::move(call), time_for_store());
     const auto result =
-        answer ? platform::read_append(answer->status, answer->body)
-               : platform::append_answer();
-    if (result.state != platform::append_answer::outcome::appended)
+        answer ? platform::read_append_response(answer->status, answer->body)
+               : platform::append_response();
+    if (result.state != platform::append_response::outcome::appended)
     {
         m_ledger.on_uncertain();
-        if (result.state != platform::append_answer::outcome::wrong_end)
+        if (result.state != platform::append_response::outcome::end_mismatch)
         {
             m_ledger.on_refused(sent_at);
         }
--- a/services/gateway/request_flow.cpp
+++ b/services/gateway/request_flow.cpp
@@ -414,7 +414,7 @@
     }
     log(event, fields);
     std::string extra;
-    platform::write_refusal_fields(extra, m_facts.id.value(), retry_after);
+    platform::write_rejection_fields(extra, m_facts.id.value(), retry_after);
     co_await m_response.send_local(status, extra);
 }
 
@@ -429,7 +429,7 @@
         const bool is_replaced = m_last_event && m_response.has_begun() &&
                                  same_name(field.name, "Last-Event-Id");
         if (is_length || is_replaced || is_hop_by_hop(fields, field.name) ||
-            platform::is_withheld(field.name))
+            platform::is_stripped(field.name))
         {
             continue;
         }
--- a/services/gateway/rollout_service.cpp
+++ b/services/gateway/rollout_service.cpp
@@ -286,10 +286,10 @@
         at);
     const auto answer = co_await m_store.call(std::move(call), store_time);
     const auto result =
-        answer ? platform::read_append(answer->status, answer->body)
-               : platform::append_answer();
+        answer ? platform::read_append_response(answer->status, answer->body)
+               : platform::append_response();
     const bool is_written =
-        result.state == platform::append_answer::outcome::appended;
+        result.state == platform::append_response::outcome::appended;
     log(events::rollout_written,
         {{"service", status.service.value()},
          {"target", status.target.value()},
--- a/services/gateway/server_exchange.cpp
+++ b/services/gateway/server_exchange.cpp
@@ -193,7 +193,7 @@
         if (!m_is_unrelated)
         {
             m_head = m_parser->take_head();
-            const auto answered = platform::answered_id(m_head.fields);
+            const auto answered = platform::find_request_id(m_head.fields);
             m_is_unrelated =
                 (answered && *answered != m_request.id) ||
                 (m_head.status >= http_status::first_informational &&
@@ -221,14 +221,14 @@
                                    bool is_unrelated)
 {
     m_notice.limit = notice.limit ? notice.limit : m_notice.limit;
-    m_notice.ends_limit = notice.ends_limit && !is_unrelated;
-    m_notice.has_faulty_limit =
-        m_notice.has_faulty_limit || notice.has_faulty_limit;
+    m_notice.withdraws_limit = notice.withdraws_limit && !is_unrelated;
+    m_notice.has_malformed_limit =
+        m_notice.has_malformed_limit || notice.has_malformed_limit;
     m_notice.is_leaving = m_notice.is_leaving || notice.is_leaving;
-    if (notice.rest)
+    if (notice.back_off)
     {
-        m_notice.rest =
-            std::max(*notice.rest, m_notice.rest.value_or(milliseconds(0)));
+        m_notice.back_off = std::max(
+            *notice.back_off, m_notice.back_off.value_or(milliseconds(0)));
     }
 }
 
--- a/services/gateway/server_notices.cpp
+++ b/services/gateway/server_notices.cpp
@@ -35,15 +35,16 @@
     {
         apply_leaving(state, server);
     }
-    if (notice.rest)
+    if (notice.back_off)
     {
         const auto now = gateway_state::now();
         state.choice.set_back_off(server.incarnation(),
-                                  now + absl::FromChrono(*notice.rest), now);
+                                  now + absl::FromChrono(*notice.back_off),
+                                  now);
         log(events::upstream_rests,
             {{"server", server.id.value()},
              {"born", std::to_string(server.started_at.value())},
-             {"rest_ms", std::to_string(notice.rest->count())}});
+             {"rest_ms", std::to_string(notice.back_off->count())}});
     }
 }
 
--- a/services/gateway/upstream_limiter.cpp
+++ b/services/gateway/upstream_limiter.cpp
@@ -24,11 +24,11 @@
                                        const platform::server_notice& notice,
                                        absl::Time sent_at)
 {
-    if (notice.has_faulty_limit)
+    if (notice.has_malformed_limit)
     {
         log_unreadable(server);
     }
-    if (!notice.limit && !notice.ends_limit)
+    if (!notice.limit && !notice.withdraws_limit)
     {
         return;
     }
--- a/tests/fuzz/store_fuzz.cpp
+++ b/tests/fuzz/store_fuzz.cpp
@@ -76,7 +76,7 @@
     constexpr std::array statuses{200, 412, 503};
     for (const auto status : statuses)
     {
-        (void)platform::read_append(status, bytes);
+        (void)platform::read_append_response(status, bytes);
     }
 }
 
--- a/tests/platform/formats_test.cpp
+++ b/tests/platform/formats_test.cpp
@@ -66,9 +66,9 @@
     for (const auto* name : {"x-credential", "X-Tenant", "X-Expect-Instance",
                              "Kv-From", "X-Request-Priority", "X-Deadline-Ms"})
     {
-        EXPECT_TRUE(is_withheld(name)) << name;
+        EXPECT_TRUE(is_stripped(name)) << name;
     }
-    EXPECT_FALSE(is_withheld("X-Model"));
+    EXPECT_FALSE(is_stripped("X-Model"));
 }
 
 TEST(request_format, only_a_stated_refusal_has_not_run)
@@ -89,12 +89,13 @@
     head.status = 200;
     head.fields.fields = {{"Server-Leaving", "1"}, {"Retry-After", "3"}};
     EXPECT_TRUE(read_notice(head).is_leaving);
-    EXPECT_FALSE(read_notice(head).rest) << "only one turned away asks for it";
+    EXPECT_FALSE(read_notice(head).back_off)
+        << "only a rejection carries a back-off";
     head.status = 503;
-    EXPECT_EQ(read_notice(head).rest, std::chrono::milliseconds(3000));
+    EXPECT_EQ(read_notice(head).back_off, std::chrono::milliseconds(3000));
     head.fields.fields = {{"server-leaving", "0"}, {"retry-after", " 0.25 "}};
     EXPECT_FALSE(read_notice(head).is_leaving);
-    EXPECT_EQ(read_notice(head).rest, std::chrono::milliseconds(250));
+    EXPECT_EQ(read_notice(head).back_off, std::chrono::milliseconds(250));
 }
 
 TEST(request_format, a_time_to_rest_that_is_no_number_of_seconds_is_left_out)
@@ -104,12 +105,12 @@
     for (const auto* text : {"", "-1", "nan", "3 s", "Wed, 21 Oct 2026"})
     {
         head.fields.fields = {{"Retry-After", text}};
-        EXPECT_FALSE(read_notice(head).rest) << text;
+        EXPECT_FALSE(read_notice(head).back_off) << text;
     }
     for (const auto* text : {"1e300", "inf", "86401"})
     {
         head.fields.fields = {{"Retry-After", text}};
-        EXPECT_EQ(read_notice(head).rest, std::chrono::hours(24)) << text;
+        EXPECT_EQ(read_notice(head).back_off, std::chrono::hours(24)) << text;
     }
 }
 
@@ -136,24 +137,24 @@
         head.fields.fields = {{"Server-Limit", text}, {"X-Server-Seal", "s"}};
         const auto notice = read_notice(head);
         EXPECT_FALSE(notice.limit) << text;
-        EXPECT_FALSE(notice.ends_limit) << text;
-        EXPECT_TRUE(notice.has_faulty_limit) << text;
+        EXPECT_FALSE(notice.withdraws_limit) << text;
+        EXPECT_TRUE(notice.has_malformed_limit) << text;
     }
     head.fields.fields = {{"Server-Limit", "1"}, {"Server-Limit", "2"}};
-    EXPECT_TRUE(read_notice(head).has_faulty_limit);
+    EXPECT_TRUE(read_notice(head).has_malformed_limit);
 }
 
 TEST(request_format, only_an_answer_of_the_server_itself_ends_its_limit)
 {
     response_head head;
     head.status = 200;
-    EXPECT_FALSE(read_notice(head).ends_limit) << "without a signature";
+    EXPECT_FALSE(read_notice(head).withdraws_limit) << "without a signature";
     head.fields.fields = {{"X-Server-Seal", "s"}};
-    EXPECT_TRUE(read_notice(head).ends_limit);
+    EXPECT_TRUE(read_notice(head).withdraws_limit);
     head.status = 421;
-    EXPECT_FALSE(read_notice(head).ends_limit);
+    EXPECT_FALSE(read_notice(head).withdraws_limit);
     head.status = 100;
-    EXPECT_FALSE(read_notice(head).ends_limit);
+    EXPECT_FALSE(read_notice(head).withdraws_limit);
 }
 
 TEST(request_format, reads_how_long_a_server_keeps_a_connection)
@@ -275,7 +276,7 @@
     EXPECT_EQ(entry.started_at, upstream_birth(1764720000123));
 }
 
-// One field of a good entry in another writer's way: it names no server.
+// An entry with one missing or malformed field is rejected as a whole.
 TEST(configuration_format, takes_no_entry_that_a_server_would_not_write)
 {
     const auto good = boost::json::parse(
@@ -333,7 +334,7 @@
     EXPECT_FALSE(decode_keyed(encode_keyed("key", ""), log_offset(4)).value);
 }
 
-// Anybody may write to the store: what follows a torn record is still read.
+// Any client can write to the store, so a torn record must not stop the reader.
 TEST(store_calls, a_torn_record_names_no_key)
 {
     const std::vector<std::string> torn{"",
@@ -394,12 +395,13 @@
 
 TEST(store_calls, only_an_acknowledged_append_is_certain)
 {
-    using outcome = append_answer::outcome;
-    EXPECT_EQ(read_append(200, R"({"offset":3,"end":4})").state,
+    using outcome = append_response::outcome;
+    EXPECT_EQ(read_append_response(200, R"({"offset":3,"end":4})").state,
               outcome::appended);
-    EXPECT_EQ(read_append(412, R"({"end":4})").state, outcome::wrong_end);
-    EXPECT_EQ(read_append(503, "").state, outcome::refused);
-    EXPECT_EQ(read_append(200, "torn").state, outcome::unknown);
+    EXPECT_EQ(read_append_response(412, R"({"end":4})").state,
+              outcome::end_mismatch);
+    EXPECT_EQ(read_append_response(503, "").state, outcome::rejected);
+    EXPECT_EQ(read_append_response(200, "torn").state, outcome::unknown);
 }
 
 TEST(duty_calls, carry_their_holder_and_what_was_settled)
--- a/tests/platform/source_rules_test.cpp
+++ b/tests/platform/source_rules_test.cpp
@@ -1,4 +1,4 @@
-// Rules about the sources themselves.
+// Checks of rules that the source files follow.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -46,7 +46,7 @@
 TEST(source_rules, nothing_outside_its_folder_knows_the_platforms_names)
 {
     const std::vector<std::string> names{
-        // Not X-Attempt-Id: the product's own interface has that name too.
+        // X-Attempt-Id is absent: daleshelf's own interface uses it too.
         "X-Server-Seal",     "X-Expect-Instance",  "X-Not-Executed",
         "X-Credential",      "X-Prompt-Prefix",    "X-Token-Count",
         "X-Weight-Versions", "X-Request-Priority", "X-Duty-Holder",
@@ -69,8 +69,8 @@
                     });
 }
 
-// GCC 12 destroys an awaitable that was never made if co_await stands in a
-// condition or in a branch of an expression; the process ends then.
+// GCC 12 destroys an awaitable that was never constructed if co_await stands in
+// a condition or in a branch of an expression, which crashes the process.
 TEST(source_rules, each_co_await_is_a_statement_of_its_own)
 {
     const std::regex in_condition(R"((if|while|switch) \([^{;]*co_await)");
@@ -91,9 +91,9 @@
         });
 }
 
-// absl::Now() goes on by the cycle counter: what is told to others, and counted
-// by windows of the time of day, asks the system's clock.
-// By a clock that stands still during a suspension a host takes old for new.
+// absl::Now() extrapolates from the cycle counter, so times that are sent to
+// other hosts or counted in wall-clock windows come from the system clock.
+// With a clock that stops during a suspension, a host takes stale data for new.
 TEST(source_rules, the_gateway_has_one_clock_that_counts_suspensions)
 {
     for_each_source(
