--- a/tests/platform/formats_test.cpp
+++ b/tests/platform/formats_test.cpp
@@ -98,7 +98,7 @@
     EXPECT_EQ(read_notice(head).back_off, std::chrono::milliseconds(250));
 }
 
-TEST(request_format, a_time_to_rest_that_is_no_number_of_seconds_is_left_out)
+TEST(request_format, ignores_a_back_off_that_is_not_a_number_of_seconds)
 {
     response_head head;
     head.status = 503;
@@ -144,7 +144,7 @@
     EXPECT_TRUE(read_notice(head).has_malformed_limit);
 }
 
-TEST(request_format, only_an_answer_of_the_server_itself_ends_its_limit)
+TEST(request_format, only_a_signed_response_of_the_server_withdraws_its_limit)
 {
     response_head head;
     head.status = 200;
@@ -277,27 +277,27 @@
 }
 
 // An entry with one missing or malformed field is rejected as a whole.
-TEST(configuration_format, takes_no_entry_that_a_server_would_not_write)
+TEST(configuration_format, rejects_malformed_server_entries)
 {
-    const auto good = boost::json::parse(
-                          R"({"service":"s","address":"10.0.0.1:80","zone":"a",
+    const auto valid = boost::json::parse(
+                           R"({"service":"s","address":"10.0.0.1:80","zone":"a",
         "version":"v1","slots":6,"state":"ready","sequence":7})")
-                          .as_object();
-    ASSERT_NO_THROW((void)read_server("i", boost::json::serialize(good)));
-    for (const auto& [key, value] : good)
+                           .as_object();
+    ASSERT_NO_THROW((void)read_server("i", boost::json::serialize(valid)));
+    for (const auto& [key, value] : valid)
     {
-        auto lacking = good;
-        lacking.erase(key);
-        EXPECT_THROW((void)read_server("i", boost::json::serialize(lacking)),
+        auto incomplete = valid;
+        incomplete.erase(key);
+        EXPECT_THROW((void)read_server("i", boost::json::serialize(incomplete)),
                      json_error)
             << "without " << key;
-        auto other = good;
-        other[key] = boost::json::array{value};
-        EXPECT_THROW((void)read_server("i", boost::json::serialize(other)),
+        auto changed = valid;
+        changed[key] = boost::json::array{value};
+        EXPECT_THROW((void)read_server("i", boost::json::serialize(changed)),
                      json_error)
             << key << " is a list";
     }
-    const std::vector<std::pair<std::string, boost::json::value>> odd{
+    const std::vector<std::pair<std::string, boost::json::value>> malformed{
         {"service", ""},
         {"state", "asleep"},
         {"state", ""},
@@ -315,11 +315,11 @@
         {"born", 17.5},
         {"coldRemainingMs", "soon"},
         {"address", "10.0.0.1:99999"}};
-    for (const auto& [key, value] : odd)
+    for (const auto& [key, value] : malformed)
     {
-        auto other = good;
-        other[key] = value;
-        EXPECT_THROW((void)read_server("i", boost::json::serialize(other)),
+        auto changed = valid;
+        changed[key] = value;
+        EXPECT_THROW((void)read_server("i", boost::json::serialize(changed)),
                      json_error)
             << key << " is " << value;
     }
