--- a/services/gateway/duty_service.cpp
+++ b/services/gateway/duty_service.cpp
@@ -276,12 +276,13 @@
     const auto response =
         co_await m_store.call(std::move(call), store_call_timeout());
     const auto result =
-        response ? platform::read_append(response->status, response->body)
-                 : platform::append_answer();
-    if (result.state != platform::append_answer::outcome::appended)
+        response
+            ? platform::read_append_response(response->status, response->body)
+            : platform::append_response();
+    if (result.state != platform::append_response::outcome::appended)
     {
         m_ledger.on_uncertain();
-        if (result.state != platform::append_answer::outcome::wrong_end)
+        if (result.state != platform::append_response::outcome::end_mismatch)
         {
             m_ledger.on_refused(sent_at);
         }
--- a/services/gateway/rollout_service.cpp
+++ b/services/gateway/rollout_service.cpp
@@ -290,10 +290,11 @@
         at);
     const auto response = co_await m_store.call(std::move(call), store_timeout);
     const auto result =
-        response ? platform::read_append(response->status, response->body)
-                 : platform::append_answer();
+        response
+            ? platform::read_append_response(response->status, response->body)
+            : platform::append_response();
     const bool is_written =
-        result.state == platform::append_answer::outcome::appended;
+        result.state == platform::append_response::outcome::appended;
     log(events::rollout_written,
         {{"service", status.service.value()},
          {"target", status.target.value()},
