--- a/services/gateway/duty_service.cpp
+++ b/services/gateway/duty_service.cpp
@@ -46,7 +46,7 @@
 {
     peers.set_counts_listener(
         [this](std::int64_t window, const host_id& machine)
-        { m_collection.note_told(window, machine); });
+        { m_collection.on_counts_received(window, machine); });
 }
 
 void duty_service::start()
@@ -197,8 +197,8 @@
         {
             continue;
         }
-        m_peers.ask_counts(*window,
-                           m_collection.to_ask(m_peers.machines(false), now));
+        m_peers.ask_counts(
+            *window, m_collection.take_due_hosts(m_peers.machines(false), now));
     }
 }
 
@@ -233,8 +233,8 @@
     const auto now = gateway_state::now();
     if (!answer)
     {
-        m_ledger.on_uncertain();
-        m_ledger.on_refused(sent_at);
+        m_ledger.on_outcome_unknown();
+        m_ledger.on_call_failed(sent_at);
         co_return false;
     }
     try
@@ -249,7 +249,7 @@
         }
         if (answer->status != http_status::ok)
         {
-            m_ledger.on_refused(sent_at);
+            m_ledger.on_call_failed(sent_at);
             co_return false;
         }
         const auto page = platform::read_page(answer->body);
@@ -266,8 +266,8 @@
 awaitable<void> duty_service::append(ledger_append append)
 {
     const auto sent_at = gateway_state::now();
-    auto call =
-        platform::append_call(platform::duty_topic, {append.record}, append.at);
+    auto call = platform::append_call(platform::duty_topic, {append.record},
+                                      append.expected_end);
     const auto answer =
         co_await m_store.call(std::move(call), time_for_store());
     const auto result =
@@ -275,10 +275,10 @@
                : platform::append_answer();
     if (result.state != platform::append_answer::outcome::appended)
     {
-        m_ledger.on_uncertain();
+        m_ledger.on_outcome_unknown();
         if (result.state != platform::append_answer::outcome::wrong_end)
         {
-            m_ledger.on_refused(sent_at);
+            m_ledger.on_call_failed(sent_at);
         }
         co_return;
     }
@@ -287,7 +287,7 @@
     {
         log(events::usage_settled,
             {{"window", std::to_string(*append.window)},
-             {"offset", std::to_string(append.at.value())},
+             {"offset", std::to_string(append.expected_end.value())},
              {"starts", m_peers.table().describe_counts(*append.window)}});
         m_settled.notify();
     }
@@ -362,9 +362,9 @@
     }
     const auto time = m_state.time_of_day();
     for (auto window = oldest_window();
-         m_state.usage.end_of(window) + settle_delay <= time; ++window)
+         m_state.usage.window_end(window) + settle_delay <= time; ++window)
     {
-        if (window > m_newest_empty && m_ledger.may_settle(window))
+        if (window > m_newest_empty && m_ledger.can_settle(window))
         {
             return window;
         }
@@ -374,7 +374,7 @@
 
 std::int64_t duty_service::running_window() const
 {
-    return m_state.usage.window_of(m_state.time_of_day());
+    return m_state.usage.window_at(m_state.time_of_day());
 }
 
 // @return whether all machines in reach have told their counts of the window,
@@ -390,7 +390,7 @@
         return true;
     }
     const auto late = absl::FromChrono(m_state.settings.usage_late);
-    const auto age = m_state.time_of_day() - m_state.usage.end_of(window);
+    const auto age = m_state.time_of_day() - m_state.usage.window_end(window);
     const auto asked_for = gateway_state::now() - m_collecting_since;
     return age >= late * last_collect_part ||
            (age >= late * collect_part && asked_for >= least_collect_time);
@@ -399,7 +399,7 @@
 std::int64_t duty_service::oldest_window() const
 {
     const auto lateness = absl::FromChrono(m_state.settings.usage_late);
-    return m_state.usage.window_of(
+    return m_state.usage.window_at(
         m_state.time_of_day() - lateness -
         absl::FromChrono(m_state.settings.usage_window));
 }
--- a/services/gateway/peer_states.cpp
+++ b/services/gateway/peer_states.cpp
@@ -33,7 +33,7 @@
         }
         return;
     }
-    if (m_state.usage.end_of(told->window) > m_state.time_of_day())
+    if (m_state.usage.window_end(told->window) > m_state.time_of_day())
     {
         // The asker's clock is ahead: it asks again.
         return;
--- a/tests/duties/log_machine.hpp
+++ b/tests/duties/simulated_host.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Machines that keep one lease by a log, for tests.
+/// Simulated hosts that share one lease through a log, for tests.
 #pragma once
 
 #include <algorithm>
@@ -10,46 +10,50 @@
 namespace daleshelf
 {
 
-/// @return a time of the test
+/// @return the time that many seconds after the Unix epoch
 inline absl::Time at(double seconds)
 {
     return absl::UnixEpoch() + absl::Seconds(seconds);
 }
 
-/// The platform's log: an append is done only if the log ends where it says.
+/// The platform's log: an append succeeds only if the log ends at its
+/// `expected_end`.
 struct shared_log
 {
-    std::vector<std::string> records; ///< those before `first` too
+    std::vector<std::string> records; ///< includes those before `first`
     std::int64_t first = 0;           ///< the oldest offset kept
 
-    void forget()
+    void trim()
     {
         first = static_cast<std::int64_t>(records.size());
     }
 
-    bool append(const ledger_append& wanted)
+    bool append(const ledger_append& append_request)
     {
-        if (wanted.at.value() != static_cast<std::int64_t>(records.size()))
+        if (append_request.expected_end.value() !=
+            static_cast<std::int64_t>(records.size()))
         {
             return false;
         }
-        records.push_back(wanted.record);
+        records.push_back(append_request.record);
         return true;
     }
 };
 
-/// One machine; its calls may lose their answers, or it stands still.
-class machine
+/// One host. A test may lose the responses to its calls, or pause it by not
+/// calling `tick`.
+class simulated_host
 {
 public:
-    machine(shared_log& log, const std::string& name)
+    simulated_host(shared_log& log, const std::string& name)
         : ledger(host_id(name), incarnation(1), duty_options()), m_log(log)
     {
     }
 
-    void tick(absl::Time now, bool is_holder_heard, bool loses_answers = false)
+    void tick(absl::Time now, bool is_holder_reachable,
+              bool loses_response = false)
     {
-        const auto action = ledger.next_action(is_holder_heard, now);
+        const auto action = ledger.next_action(is_holder_reachable, now);
         if (const auto* read = std::get_if<ledger_read>(&action))
         {
             const auto from = std::max(read->from.value(), m_log.first);
@@ -61,20 +65,20 @@
         }
         else if (const auto* append = std::get_if<ledger_append>(&action))
         {
-            perform(*append, now, loses_answers);
+            perform(*append, now, loses_response);
         }
     }
 
     void perform(const ledger_append& append, absl::Time now,
-                 bool loses_answers)
+                 bool loses_response)
     {
         const bool is_done = m_log.append(append);
-        if (is_done && !loses_answers)
+        if (is_done && !loses_response)
         {
             ledger.on_appended(append, now);
             return;
         }
-        ledger.on_uncertain();
+        ledger.on_outcome_unknown();
     }
 
     duty_ledger ledger;
--- a/tests/duties/suspension_test.cpp
+++ b/tests/duties/suspension_test.cpp
@@ -1,7 +1,7 @@
-// By a clock that stands still while its machine is suspended, a holder of the
-// lease that slept for longer than the lease lasts believes that it holds it,
-// beside the next one.
-#include "log_machine.hpp"
+// Guards against a lease clock that stops while its host is suspended. A holder
+// that is suspended for longer than the lease lasts would resume in the belief
+// that it still holds the lease, although another host has acquired it.
+#include "simulated_host.hpp"
 
 #include <gtest/gtest.h>
 
@@ -17,60 +17,65 @@
 enum class clock_kind
 {
     counts_suspensions,
-    stands_still,
+    stops_during_suspensions,
 };
 
-/// One machine with a clock of its own.
-struct sleeper
+/// One host with its own clock.
+struct suspended_host
 {
-    sleeper(shared_log& log, const std::string& name) : host(log, name) {}
+    suspended_host(shared_log& log, const std::string& name) : host(log, name)
+    {
+    }
 
     [[nodiscard]] absl::Time time(double now, clock_kind clock) const
     {
-        return at(clock == clock_kind::stands_still ? now - slept : now);
+        return at(clock == clock_kind::stops_during_suspensions
+                      ? now - suspended_seconds
+                      : now);
     }
 
-    machine host;
-    double up_at = 0; ///< suspended until then
-    double slept = 0;
+    simulated_host host;
+    double resumes_at = 0; ///< end of the suspension
+    double suspended_seconds = 0;
 };
 
-/// Three machines tick and are suspended as the seed says.
-/// @return how often two of them believed at once that they hold the lease
-int times_two_held(unsigned seed, clock_kind clock)
+/// Lets three hosts tick and suspends them, as drawn from the seed.
+/// @return the number of steps at which more than one host believed that it
+/// held the lease
+int count_double_holders(unsigned seed, clock_kind clock)
 {
     std::mt19937 random(seed);
-    const auto below = [&](int most)
-    { return std::uniform_int_distribution<int>(0, most - 1)(random); };
+    const auto below = [&](int limit)
+    { return std::uniform_int_distribution<int>(0, limit - 1)(random); };
     constexpr std::array suspensions{0.1, 2.0, 10.0};
     shared_log log;
-    std::vector<std::unique_ptr<sleeper>> machines;
+    std::vector<std::unique_ptr<suspended_host>> hosts;
     for (const auto* name : {"1", "2", "3"})
     {
-        machines.push_back(std::make_unique<sleeper>(log, name));
+        hosts.push_back(std::make_unique<suspended_host>(log, name));
     }
     int count = 0;
     double now = 1;
     for (int step = 0; step < 600; ++step)
     {
         now += below(300) / 1000.0;
-        auto& one = *machines[static_cast<std::size_t>(below(3))];
-        if (one.up_at <= now && below(20) == 0)
+        auto& one = *hosts[static_cast<std::size_t>(below(3))];
+        if (one.resumes_at <= now && below(20) == 0)
         {
             const auto time =
                 suspensions.at(static_cast<std::size_t>(below(3)));
-            one.up_at = now + time;
-            one.slept += time;
+            one.resumes_at = now + time;
+            one.suspended_seconds += time;
         }
         int holders = 0;
-        for (auto& each : machines)
+        for (auto& each : hosts)
         {
             const auto time = each->time(now, clock);
-            const bool is_up = each->up_at <= now;
-            holders += is_up && each->host.ledger.token(time) ? 1 : 0;
+            const bool is_running = each->resumes_at <= now;
+            holders += is_running && each->host.ledger.token(time) ? 1 : 0;
         }
         count += holders > 1 ? 1 : 0;
-        if (one.up_at <= now)
+        if (one.resumes_at <= now)
         {
             one.host.tick(one.time(now, clock), below(4) == 0, below(5) == 0);
         }
@@ -82,17 +87,18 @@
 {
     for (unsigned seed = 1; seed <= 200; ++seed)
     {
-        EXPECT_EQ(times_two_held(seed, clock_kind::counts_suspensions), 0)
+        EXPECT_EQ(count_double_holders(seed, clock_kind::counts_suspensions), 0)
             << seed;
     }
 }
 
-TEST(lease_suspension, two_hold_it_by_a_clock_that_stands_still)
+TEST(lease_suspension, two_hold_it_by_a_clock_that_stops_during_suspensions)
 {
     int count = 0;
     for (unsigned seed = 1; seed <= 200; ++seed)
     {
-        count += times_two_held(seed, clock_kind::stands_still);
+        count +=
+            count_double_holders(seed, clock_kind::stops_during_suspensions);
     }
     EXPECT_GT(count, 0) << "the test above cannot fail";
 }
