--- a/libraries/claims/claim.cpp
+++ b/libraries/claims/claim.cpp
@@ -12,13 +12,13 @@
 
 claim claim_from_json(const boost::json::object& fields)
 {
-    claim read;
-    read.key = claim_key(require_string(fields, "key"));
-    read.request = request_id(require_string(fields, "request"));
-    read.body_digest = require_string(fields, "body");
-    read.time = absl::FromUnixMillis(require_integer(fields, "time_ms"));
-    read.is_release = find_boolean(fields, "release").value_or(false);
-    return read;
+    claim decoded;
+    decoded.key = claim_key(require_string(fields, "key"));
+    decoded.request = request_id(require_string(fields, "request"));
+    decoded.body_digest = require_string(fields, "body");
+    decoded.time = absl::FromUnixMillis(require_integer(fields, "time_ms"));
+    decoded.is_release = find_boolean(fields, "release").value_or(false);
+    return decoded;
 }
 
 } // namespace
--- a/libraries/claims/claim.hpp
+++ b/libraries/claims/claim.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Claims of idempotency keys.
+/// Claims of idempotency keys and their encoding as log records.
 #pragma once
 
 #include <absl/time/time.h>
@@ -11,40 +11,42 @@
 namespace daleshelf
 {
 
-/// An idempotency key, made unique over workspaces.
+/// An idempotency key that is unique across workspaces.
 using claim_key = strong_id<struct claim_key_tag>;
 
-/// One request's claim of a key.
+/// The claim of one request to a key, or the release of that claim.
 struct claim
 {
     claim_key key;
     request_id request;
-    std::string body_digest; ///< tells a repetition from another request
-    absl::Time time;         ///< at the claiming host
-    bool is_release = false; ///< the request was refused and never ran
+    std::string body_digest; ///< tells a retry from a different request
+    absl::Time time;         ///< by the clock of the claiming host
+    bool is_release = false; ///< releases the key: the request never runs
 };
 
-/// What became of a claim.
+/// The outcome of a claim.
 struct claim_outcome
 {
     enum class state
     {
-        won,         ///< this request, and no other, may run
-        lost,        ///< `winner` has the key
-        mismatch,    ///< `winner` has the key with another body
-        unavailable, ///< nobody can tell now; the request must not run
+        won,         ///< only this request may run
+        lost,        ///< `winner` holds the key
+        mismatch,    ///< `winner` holds the key with a different body
+        unavailable, ///< not known in time; the request must not run
     };
 
-    state what = state::unavailable;
+    state decision = state::unavailable;
     request_id winner;
 };
 
+/// Encodes claims.
 /// @param claims claims in order
-/// @return the record that carries them in the log
+/// @return the log record that contains them
 [[nodiscard]] std::string to_record(const std::vector<claim>& claims);
 
+/// Decodes a record. Every host decodes a record to the same claims.
 /// @param data a record
-/// @return its claims; none if it cannot be read, on every host alike
+/// @return its claims; none if it is malformed or has another format version
 [[nodiscard]] std::vector<claim> claims_from_record(const std::string& data);
 
 } // namespace daleshelf
--- a/libraries/claims/claim_table.cpp
+++ b/libraries/claims/claim_table.cpp
@@ -13,13 +13,13 @@
     {
         apply(item);
     }
-    forget_old();
+    evict_expired();
 }
 
 void claim_table::apply(const claim& item)
 {
     m_oldest = m_oldest ? m_oldest : item.time;
-    // Hosts' clocks differ; the table's own time never goes back.
+    // The clocks of hosts differ; the time of the table never decreases.
     m_newest = m_newest ? std::max(*m_newest, item.time) : item.time;
     const auto found = m_holders.find(item.key);
     if (item.is_release)
@@ -32,7 +32,7 @@
     }
     if (found != m_holders.end())
     {
-        return; // an earlier claim has it
+        return; // an earlier claim holds the key
     }
     m_holders[item.key] = item;
     m_by_age.push_back(item);
@@ -48,9 +48,10 @@
     return found->second;
 }
 
-void claim_table::forget_old()
+void claim_table::evict_expired()
 {
-    // By the time in the records alone, so that every host forgets alike.
+    // Uses only the times in the records, so that every host evicts the same
+    // claims.
     while (!m_by_age.empty() && m_newest &&
            *m_newest - m_by_age.front().time > m_window)
     {
--- a/libraries/claims/claim_table.hpp
+++ b/libraries/claims/claim_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Who has which idempotency key, settled by replay of the log.
+/// The holders of idempotency keys, computed by replaying the log.
 #pragma once
 
 #include "claim.hpp"
@@ -14,27 +14,28 @@
 namespace daleshelf
 {
 
-/// The claim at the lowest offset wins and holds the key for a window.
+/// Holders of keys. The claim at the lowest offset wins and holds its key for a
+/// window, unless it is released before.
 class claim_table
 {
 public:
-    /// @param window how long a key is held at the least
+    /// @param window minimum time for which a key is held
     explicit claim_table(absl::Duration window);
 
-    /// Applies a record; records come in the order of their offsets.
+    /// Applies a record. Records must be applied in the order of their offsets.
     /// @param data the record
     void apply(const std::string& data);
 
     /// @return the claim that holds the key, or nothing
     [[nodiscard]] std::optional<claim> find(const claim_key& key) const;
 
-    /// @return when the oldest record that was applied was written
+    /// @return time of the first claim applied, by the clock of its host
     [[nodiscard]] std::optional<absl::Time> oldest() const
     {
         return m_oldest;
     }
 
-    /// @return when the newest record that was applied was written
+    /// @return latest time of all claims applied, by the clocks of their hosts
     [[nodiscard]] std::optional<absl::Time> newest() const
     {
         return m_newest;
@@ -47,7 +48,7 @@
 
 private:
     void apply(const claim& item);
-    void forget_old();
+    void evict_expired();
 
     absl::Duration m_window;
     absl::flat_hash_map<claim_key, claim> m_holders;
--- a/services/daleshelfd/caller_api.cpp
+++ b/services/daleshelfd/caller_api.cpp
@@ -395,18 +395,18 @@
         [exchange, on_won, on_lost](const claim_outcome& outcome)
         {
             using state = claim_outcome::state;
-            if (outcome.what == state::won)
+            if (outcome.decision == state::won)
             {
                 on_won();
                 return;
             }
-            if (outcome.what == state::lost)
+            if (outcome.decision == state::lost)
             {
                 on_lost(outcome.winner);
                 return;
             }
             exchange->respond(
-                outcome.what == state::mismatch
+                outcome.decision == state::mismatch
                     ? to_error_response(
                           {http_status::unprocessable, "idempotency_key_reused",
                            "the key was used with another request",
--- a/services/daleshelfd/claim_service.cpp
+++ b/services/daleshelfd/claim_service.cpp
@@ -52,7 +52,7 @@
 
 void claim_service::perform_one(const read_claims& action)
 {
-    m_log.read(m_stream, action.from, action.may_wait ? long_poll : no_wait,
+    m_log.read(m_stream, action.from, action.is_long_poll ? long_poll : no_wait,
                [this](log_read_result result)
                {
                    m_control.post(
@@ -80,7 +80,7 @@
                  });
 }
 
-void claim_service::perform_one(const claim_settled& action)
+void claim_service::perform_one(const claim_resolved& action)
 {
     const auto found = m_waiting.find(action.request);
     if (found == m_waiting.end())
--- a/services/daleshelfd/claim_service.hpp
+++ b/services/daleshelfd/claim_service.hpp
@@ -43,7 +43,7 @@
     void perform(const claim_actions& actions);
     void perform_one(const read_claims& action);
     void perform_one(const append_claims& action);
-    void perform_one(const claim_settled& action);
+    void perform_one(const claim_resolved& action);
 
     control_thread& m_control;
     node_state& m_node;
--- a/tests/claims/claim_replica_test.cpp
+++ b/tests/claims/claim_replica_test.cpp
@@ -12,17 +12,17 @@
 
 using state = claim_outcome::state;
 
-/// The stream of claims.
+/// The stream of claims, with faults that a test switches on.
 struct claim_log
 {
     std::vector<std::string> records;
     std::int64_t first = 0;
     bool is_down = false;
-    bool loses_answers = false;
+    bool loses_responses = false;
     bool loses_appends = false;
 };
 
-/// One host with what it was told.
+/// One host and the outcomes that it received.
 class claiming_host
 {
 public:
@@ -40,9 +40,10 @@
     void claim_key_for(const std::string& key, const std::string& request,
                        const std::string& body = "b")
     {
-        const claim wanted{claim_key(key), request_id(request), body, now,
-                           false};
-        const auto known = replica.propose(wanted, now + absl::Seconds(3), now);
+        const claim proposed{claim_key(key), request_id(request), body, now,
+                             false};
+        const auto known =
+            replica.propose(proposed, now + absl::Seconds(3), now);
         if (known)
         {
             outcomes[request] = *known;
@@ -92,7 +93,7 @@
             m_log.records.push_back(action.data);
             result.offset =
                 log_offset(static_cast<std::int64_t>(m_log.records.size()) - 1);
-            if (!m_log.loses_answers)
+            if (!m_log.loses_responses)
             {
                 result.state = log_append_result::outcome::appended;
             }
@@ -100,7 +101,7 @@
         replica.on_appended(result, now);
     }
 
-    void on(const claim_settled& action)
+    void on(const claim_resolved& action)
     {
         EXPECT_FALSE(outcomes.contains(action.request.value()));
         outcomes[action.request.value()] = action.outcome;
@@ -129,23 +130,23 @@
     one.claim_key_for("k", "r1");
     other.claim_key_for("k", "r2");
     run({&one, &other}, 5);
-    EXPECT_EQ(state::won, one.outcomes.at("r1").what);
-    EXPECT_EQ(state::lost, other.outcomes.at("r2").what);
+    EXPECT_EQ(state::won, one.outcomes.at("r1").decision);
+    EXPECT_EQ(state::lost, other.outcomes.at("r2").decision);
     EXPECT_EQ(request_id("r1"), other.outcomes.at("r2").winner);
 }
 
-TEST(claim_replica, knows_its_own_claim_when_the_answer_was_lost)
+TEST(claim_replica, recognises_its_own_claim_after_a_lost_response)
 {
     claim_log log;
-    log.loses_answers = true;
+    log.loses_responses = true;
     claiming_host host(log, 1);
     run({&host}, 2);
     host.claim_key_for("k", "r1");
     run({&host}, 5);
-    EXPECT_EQ(state::won, host.outcomes.at("r1").what);
+    EXPECT_EQ(state::won, host.outcomes.at("r1").decision);
 }
 
-TEST(claim_replica, runs_nothing_while_the_log_is_down)
+TEST(claim_replica, rejects_claims_while_the_log_is_down)
 {
     claim_log log;
     claiming_host host(log, 1);
@@ -153,10 +154,10 @@
     log.is_down = true;
     run({&host}, 2);
     host.claim_key_for("k", "r1");
-    EXPECT_EQ(state::unavailable, host.outcomes.at("r1").what);
+    EXPECT_EQ(state::unavailable, host.outcomes.at("r1").decision);
 }
 
-TEST(claim_replica, frees_a_key_whose_request_was_refused)
+TEST(claim_replica, releases_a_key_whose_claim_timed_out)
 {
     claim_log log;
     claiming_host host(log, 1);
@@ -164,15 +165,15 @@
     log.loses_appends = true;
     host.claim_key_for("k", "r1");
     run({&host}, 8);
-    ASSERT_EQ(state::unavailable, host.outcomes.at("r1").what);
+    ASSERT_EQ(state::unavailable, host.outcomes.at("r1").decision);
     log.loses_appends = false;
     run({&host}, 20);
     host.claim_key_for("k", "r2");
     run({&host}, 5);
-    EXPECT_EQ(state::won, host.outcomes.at("r2").what);
+    EXPECT_EQ(state::won, host.outcomes.at("r2").decision);
 }
 
-TEST(claim_replica, does_not_guess_what_was_trimmed_before_it_was_read)
+TEST(claim_replica, rejects_claims_after_unread_records_were_trimmed)
 {
     claim_log log;
     claiming_host first(log, 1);
@@ -185,15 +186,15 @@
     claiming_host late(log, 2);
     run({&late}, 5);
     late.claim_key_for("k", "r3");
-    EXPECT_EQ(state::unavailable, late.outcomes.at("r3").what);
+    EXPECT_EQ(state::unavailable, late.outcomes.at("r3").decision);
     late.now += absl::Hours(2);
     run({&late}, 3);
     late.claim_key_for("k", "r4");
     run({&late}, 3);
-    EXPECT_EQ(state::won, late.outcomes.at("r4").what);
+    EXPECT_EQ(state::won, late.outcomes.at("r4").decision);
 }
 
-TEST(claim_replica, tells_another_body_under_the_same_key)
+TEST(claim_replica, detects_another_body_under_the_same_key)
 {
     claim_log log;
     claiming_host host(log, 1);
@@ -201,10 +202,11 @@
     host.claim_key_for("k", "r1", "one");
     run({&host}, 3);
     host.claim_key_for("k", "r2", "two");
-    EXPECT_EQ(state::mismatch, host.outcomes.at("r2").what);
+    EXPECT_EQ(state::mismatch, host.outcomes.at("r2").decision);
 }
 
-/// Whatever is lost on the way, a key is never won twice.
+/// Lost appends, lost responses and outages of the log never let two requests
+/// win the same key.
 RC_GTEST_PROP(claim_replica, never_lets_two_requests_win_one_key, ())
 {
     claim_log log;
@@ -222,7 +224,7 @@
     int number = 0;
     for (const int step : steps)
     {
-        log.loses_answers = step % 3 == 0;
+        log.loses_responses = step % 3 == 0;
         log.loses_appends = step % 5 == 0;
         log.is_down = step % 11 == 0;
         auto& host = *hosts[static_cast<std::size_t>(step) % hosts.size()];
@@ -239,7 +241,7 @@
     {
         for (const auto& [request, outcome] : host->outcomes)
         {
-            wins[key_of.at(request)] += outcome.what == state::won ? 1 : 0;
+            wins[key_of.at(request)] += outcome.decision == state::won ? 1 : 0;
         }
     }
     for (const auto& [key, count] : wins)
