--- a/services/gateway/duty_service.cpp
+++ b/services/gateway/duty_service.cpp
@@ -49,7 +49,7 @@
 {
     peers.set_counts_listener(
         [this](std::int64_t window, const host_id& machine)
-        { m_collection.note_told(window, machine); });
+        { m_collection.on_counts_received(window, machine); });
 }
 
 void duty_service::start()
@@ -202,8 +202,8 @@
         {
             continue;
         }
-        m_peers.request_counts(*window,
-                               m_collection.to_ask(m_peers.hosts(false), now));
+        m_peers.request_counts(
+            *window, m_collection.take_due_hosts(m_peers.hosts(false), now));
     }
 }
 
@@ -238,8 +238,8 @@
     const auto now = gateway_state::now();
     if (!response)
     {
-        m_ledger.on_uncertain();
-        m_ledger.on_refused(sent_at);
+        m_ledger.on_outcome_unknown();
+        m_ledger.on_call_failed(sent_at);
         co_return false;
     }
     try
@@ -254,7 +254,7 @@
         }
         if (response->status != http_status::ok)
         {
-            m_ledger.on_refused(sent_at);
+            m_ledger.on_call_failed(sent_at);
             co_return false;
         }
         const auto page = platform::read_page(response->body);
@@ -271,8 +271,8 @@
 awaitable<void> duty_service::append(ledger_append append)
 {
     const auto sent_at = gateway_state::now();
-    auto call =
-        platform::append_call(platform::duty_topic, {append.record}, append.at);
+    auto call = platform::append_call(platform::duty_topic, {append.record},
+                                      append.expected_end);
     const auto response =
         co_await m_store.call(std::move(call), store_call_timeout());
     const auto result =
@@ -281,10 +281,10 @@
             : platform::append_response();
     if (result.state != platform::append_response::outcome::appended)
     {
-        m_ledger.on_uncertain();
+        m_ledger.on_outcome_unknown();
         if (result.state != platform::append_response::outcome::end_mismatch)
         {
-            m_ledger.on_refused(sent_at);
+            m_ledger.on_call_failed(sent_at);
         }
         co_return;
     }
@@ -293,7 +293,7 @@
     {
         log(events::usage_settled,
             {{"window", std::to_string(*append.window)},
-             {"offset", std::to_string(append.at.value())},
+             {"offset", std::to_string(append.expected_end.value())},
              {"starts", m_peers.table().describe_counts(*append.window)}});
         m_settled.notify();
     }
@@ -370,9 +370,9 @@
     }
     const auto time = m_state.time_of_day();
     for (auto window = oldest_due_window();
-         m_state.usage.end_of(window) + settle_delay <= time; ++window)
+         m_state.usage.window_end(window) + settle_delay <= time; ++window)
     {
-        if (window > m_newest_empty_window && m_ledger.may_settle(window))
+        if (window > m_newest_empty_window && m_ledger.can_settle(window))
         {
             return window;
         }
@@ -382,7 +382,7 @@
 
 std::int64_t duty_service::current_window() const
 {
-    return m_state.usage.window_of(m_state.time_of_day());
+    return m_state.usage.window_at(m_state.time_of_day());
 }
 
 // @return whether all reachable hosts have sent their counts of the window, or
@@ -398,7 +398,7 @@
         return true;
     }
     const auto late = absl::FromChrono(m_state.settings.usage_late);
-    const auto age = m_state.time_of_day() - m_state.usage.end_of(window);
+    const auto age = m_state.time_of_day() - m_state.usage.window_end(window);
     const auto asked_for = gateway_state::now() - m_collection_started_at;
     return age >= late * final_collect_fraction ||
            (age >= late * collect_fraction && asked_for >= min_collect_time);
@@ -407,7 +407,7 @@
 std::int64_t duty_service::oldest_due_window() const
 {
     const auto lateness = absl::FromChrono(m_state.settings.usage_late);
-    return m_state.usage.window_of(
+    return m_state.usage.window_at(
         m_state.time_of_day() - lateness -
         absl::FromChrono(m_state.settings.usage_window));
 }
--- a/services/gateway/peer_states.cpp
+++ b/services/gateway/peer_states.cpp
@@ -33,7 +33,7 @@
         }
         return;
     }
-    if (m_state.usage.end_of(reported->window) > m_state.time_of_day())
+    if (m_state.usage.window_end(reported->window) > m_state.time_of_day())
     {
         // The requester's clock is ahead; it will repeat the request.
         return;
