--- a/libraries/requests/answer_text.cpp
+++ b/libraries/requests/answer_text.cpp
@@ -10,15 +10,16 @@
         return false;
     }
     m_text += text;
-    m_ends.push_back(static_cast<std::uint32_t>(m_text.size()));
+    m_token_ends.push_back(static_cast<std::uint32_t>(m_text.size()));
     return true;
 }
 
 std::string_view answer_text::token(token_position position) const
 {
     const auto index = static_cast<std::size_t>(position.value());
-    const std::size_t start = index == 0 ? 0 : m_ends.at(index - 1);
-    return std::string_view(m_text).substr(start, m_ends.at(index) - start);
+    const std::size_t start = index == 0 ? 0 : m_token_ends.at(index - 1);
+    return std::string_view(m_text).substr(start,
+                                           m_token_ends.at(index) - start);
 }
 
 } // namespace daleshelf
--- a/libraries/requests/answer_text.hpp
+++ b/libraries/requests/answer_text.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An answer that is put together by token position.
+/// An answer assembled by token position.
 #pragma once
 
 #include <base/identifiers.hpp>
@@ -11,19 +11,19 @@
 namespace daleshelf
 {
 
-/// The tokens of an answer from position 0 without gaps.
+/// The contiguous tokens of an answer, from position 0.
 class answer_text
 {
 public:
-    /// Adds the token at `position` if it is the next one. A token that is
-    /// known already, or one after a gap, changes nothing.
-    /// @return whether it was added
+    /// Appends the token at `position` if it is the next one. Ignores
+    /// duplicates and tokens after a gap.
+    /// @return whether the token was appended
     bool add(token_position position, std::string_view text);
 
-    /// @return the position of the next token
+    /// @return the position of the next expected token
     [[nodiscard]] token_position next() const
     {
-        return token_position(static_cast<std::int64_t>(m_ends.size()));
+        return token_position(static_cast<std::int64_t>(m_token_ends.size()));
     }
 
     /// @return the text of all tokens
@@ -36,15 +36,16 @@
     /// @return the text of one token
     [[nodiscard]] std::string_view token(token_position position) const;
 
-    /// @return bytes held
+    /// @return allocated memory in bytes
     [[nodiscard]] std::size_t memory() const
     {
-        return m_text.capacity() + m_ends.capacity() * sizeof(std::uint32_t);
+        return m_text.capacity() +
+               m_token_ends.capacity() * sizeof(std::uint32_t);
     }
 
 private:
     std::string m_text;
-    std::vector<std::uint32_t> m_ends; ///< where each token's text ends
+    std::vector<std::uint32_t> m_token_ends; ///< end offsets in m_text
 };
 
 } // namespace daleshelf
--- a/libraries/requests/answer_usage.hpp
+++ b/libraries/requests/answer_usage.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counts of tokens of an answer.
+/// Token counts of an answer.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,13 @@
 namespace daleshelf
 {
 
-/// Usage counts of an answer, as the upstream gives them.
+/// Token counts of an answer, as the upstream reports them.
 struct answer_usage
 {
     std::int64_t prompt_tokens = 0;
     std::int64_t completion_tokens = 0;
     std::int64_t cached_tokens = 0;
-    std::int64_t prefilled_tokens = 0; ///< over all attempts
+    std::int64_t prefilled_tokens = 0; ///< sum over all attempts
 };
 
 } // namespace daleshelf
--- a/libraries/requests/attempt_result.hpp
+++ b/libraries/requests/attempt_result.hpp
@@ -15,21 +15,21 @@
 {
     enum class outcome
     {
-        completed,   ///< the upstream ended its answer properly
-        unreachable, ///< no byte of the request left
-        refused,     ///< the upstream says that it did not run it
-        rejected,    ///< the upstream finds the request itself wrong
-        broken,      ///< sent, and no whole answer came
-        cancelled,   ///< ended by this side
+        completed,   ///< the upstream sent the end of its answer
+        unreachable, ///< no byte of the request was sent
+        refused,     ///< the upstream reports that it did not run it
+        rejected,    ///< the upstream reports an invalid request
+        broken,      ///< sent, but the answer is incomplete
+        cancelled,   ///< cancelled by this host
     };
 
     outcome what = outcome::broken;
-    int status = 0; ///< HTTP status, 0 if none came
+    int status = 0; ///< HTTP status, 0 if none was received
     std::string message;
     std::optional<std::chrono::milliseconds> retry_after;
 
-    /// @return whether the request certainly did not run
-    [[nodiscard]] bool is_not_run() const
+    /// @return whether the upstream certainly did not run the request
+    [[nodiscard]] bool has_not_run() const
     {
         return what == outcome::unreachable || what == outcome::refused ||
                what == outcome::rejected;
--- a/libraries/requests/host_choice.cpp
+++ b/libraries/requests/host_choice.cpp
@@ -11,7 +11,7 @@
 
 constexpr char id_prefix[] = "req-";
 
-std::uint64_t rank(const request_id& id, const host_id& host)
+std::uint64_t rendezvous_weight(const request_id& id, const host_id& host)
 {
     return stable_hash(host.value(), stable_hash(id.value()));
 }
@@ -23,27 +23,29 @@
                const std::vector<copy_candidate>& candidates)
 {
     const copy_candidate* best = nullptr;
-    const auto is_better = [&](const copy_candidate& item)
+    const auto is_better = [&](const copy_candidate& candidate)
     {
         if (best == nullptr)
         {
             return true;
         }
-        const bool is_elsewhere = item.hall != own_hall;
-        const bool is_best_elsewhere = best->hall != own_hall;
-        if (is_elsewhere != is_best_elsewhere)
+        const bool is_in_other_hall = candidate.hall != own_hall;
+        const bool is_best_in_other_hall = best->hall != own_hall;
+        if (is_in_other_hall != is_best_in_other_hall)
         {
-            return is_elsewhere;
+            return is_in_other_hall;
         }
-        return rank(id, item.host) > rank(id, best->host);
+        return rendezvous_weight(id, candidate.host) >
+               rendezvous_weight(id, best->host);
     };
-    for (const auto& item : candidates)
+    for (const auto& candidate : candidates)
     {
-        if (!item.is_reachable || item.is_leaving || !is_better(item))
+        if (!candidate.is_reachable || candidate.is_leaving ||
+            !is_better(candidate))
         {
             continue;
         }
-        best = &item;
+        best = &candidate;
     }
     return best == nullptr ? std::nullopt : std::optional(best->host);
 }
@@ -52,11 +54,11 @@
                                   const std::vector<copy_candidate>& candidates)
 {
     std::vector<host_id> order;
-    for (const auto& item : candidates)
+    for (const auto& candidate : candidates)
     {
-        if (item.is_reachable)
+        if (candidate.is_reachable)
         {
-            order.push_back(item.host);
+            order.push_back(candidate.host);
         }
     }
     const auto owner = accepting_host(id);
@@ -69,14 +71,15 @@
                   {
                       return is_left_owner;
                   }
-                  return rank(id, left) > rank(id, right);
+                  return rendezvous_weight(id, left) >
+                         rendezvous_weight(id, right);
               });
     return order;
 }
 
 host_id accepting_host(const request_id& id)
 {
-    // "req-<host>-<incarnation>-<number>"; a host's name may hold dashes.
+    // "req-<host>-<incarnation>-<number>"; a host name can contain dashes.
     const auto& text = id.value();
     const auto number = text.rfind('-');
     if (text.rfind(id_prefix, 0) != 0 || number == std::string::npos ||
--- a/libraries/requests/host_choice.hpp
+++ b/libraries/requests/host_choice.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Which entry hosts keep a copy of a request, and where to look for one.
+/// Selects the entry host that replicates a request, and the hosts to search
+/// for a copy.
 #pragma once
 
 #include <base/identifiers.hpp>
@@ -9,7 +10,7 @@
 namespace daleshelf
 {
 
-/// An entry host that could hold a copy.
+/// An entry host that can hold a copy of a request.
 struct copy_candidate
 {
     host_id host;
@@ -18,31 +19,34 @@
     bool is_leaving = false;
 };
 
-/// Chooses the host that gets a request's replica: one of another hall where
-/// one is reachable, since a reclaim takes a whole hall.
-/// @param id the request
+/// Chooses the host that holds a request's replica by rendezvous hashing.
+/// Prefers hosts of other halls, because a reclaim takes a whole hall.
+/// @param id id of the request
 /// @param own_hall hall of the owner
 /// @param candidates the other hosts
-/// @return nothing if no host is reachable
+/// @return nothing if every host is unreachable or leaving
 [[nodiscard]] std::optional<host_id>
 choose_replica(const request_id& id, const hall_id& own_hall,
                const std::vector<copy_candidate>& candidates);
 
-/// Orders hosts by how likely they hold a copy, by the ranks that the choice
-/// of a replica goes by. Hosts that are not reachable are left out.
-/// @param id the request
-/// @param candidates all other hosts, gone ones too
+/// Orders hosts by how likely they hold a copy: the accepting host first, then
+/// by the hash that `choose_replica` uses. Omits unreachable hosts.
+/// @param id id of the request
+/// @param candidates all other hosts, unreachable ones included
+/// @return the hosts to ask, most likely first
 [[nodiscard]] std::vector<host_id>
 search_order(const request_id& id,
              const std::vector<copy_candidate>& candidates);
 
-/// @param id a request's id
-/// @return the host that accepted it, as the id tells
+/// @param id id of a request
+/// @return the host that accepted it, parsed from the id; empty if the id is
+/// malformed
 [[nodiscard]] host_id accepting_host(const request_id& id);
 
 /// @param host the host that accepts a request
-/// @param incarnation_name tells starts of the host apart
-/// @param number counts the requests of one start
+/// @param incarnation_name name of the host's incarnation
+/// @param number sequence number within the incarnation
+/// @return the id of a new request
 [[nodiscard]] request_id make_request_id(const host_id& host,
                                          const std::string& incarnation_name,
                                          std::uint64_t number);
--- a/libraries/requests/move_choice.hpp
+++ b/libraries/requests/move_choice.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What to do with a request at an upstream that is leaving.
+/// Chooses how a request continues when its upstream is leaving.
 #pragma once
 
 #include <absl/time/time.h>
@@ -10,27 +10,28 @@
 namespace daleshelf
 {
 
-/// Ways to bring a request through the reclaim of its upstream.
+/// Ways to continue a request across the reclaim of its upstream.
 enum class move_kind
 {
-    finish,     ///< it ends there in time
-    move_cache, ///< move what is computed, then go on elsewhere
-    recompute,  ///< go on elsewhere with the answer so far
+    finish,     ///< let it finish on the leaving upstream
+    move_cache, ///< transfer the computed cache, then continue elsewhere
+    recompute,  ///< continue elsewhere from the partial answer
 };
 
-/// What is known of a request at the time of a notice.
+/// State of a request at the time of a reclaim notice.
 struct move_situation
 {
-    absl::Duration time_left;      ///< until the upstream is gone
-    absl::Duration between_tokens; ///< measured for this request
-    std::int64_t tokens_left = 0;  ///< at the most
-    std::int64_t tokens_held = 0;  ///< prompt and answer so far
-    bool has_stream = false;       ///< the upstream has named its stream
+    absl::Duration time_left;      ///< until the upstream is reclaimed
+    absl::Duration token_interval; ///< mean of this request; 0 if not measured
+    std::int64_t max_remaining_tokens = 0; ///< upper bound
+    std::int64_t context_tokens = 0;       ///< prompt and partial answer
+    bool has_stream_id = false;            ///< whether the stream id is known
 };
 
-/// Chooses the way with the lowest predicted cost.
-/// @param situation what is known
-/// @param policy which ways may be taken
+/// Chooses the way to continue with the lowest predicted cost.
+/// @param situation state of the request
+/// @param policy `cheapest`, or the way that is always taken
+/// @return the way to continue
 [[nodiscard]] move_kind choose_move(const move_situation& situation,
                                     move_policy policy);
 
--- a/libraries/requests/request_action.hpp
+++ b/libraries/requests/request_action.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a request's state machine asks to be done.
+/// Actions that the request state machine returns to its caller.
 #pragma once
 
 #include <base/identifiers.hpp>
@@ -11,14 +11,14 @@
 namespace daleshelf
 {
 
-/// Choose an upstream and send the request there, with the answer so far.
+/// Choose an upstream and send it the request with the partial answer.
 struct start_attempt
 {
     attempt_id attempt;
     bool is_retry = false;
 };
 
-/// Read on from a stream that an upstream already runs.
+/// Resume reading a stream that an upstream already runs.
 struct resume_stream
 {
     attempt_id attempt;
@@ -27,25 +27,25 @@
     token_position from;
 };
 
-/// End an attempt whose answer is no longer wanted.
+/// Cancel an attempt whose answer is no longer needed.
 struct cancel_attempt
 {
     attempt_id attempt;
 };
 
-/// Hand the token at `position` to the caller.
+/// Deliver the token at `position` to the caller.
 struct deliver_token
 {
     token_position position;
 };
 
-/// The answer is whole.
+/// The answer is complete.
 struct complete_request
 {
     std::string finish_reason;
 };
 
-/// The request ends with an error.
+/// The request fails with an error.
 struct fail_request
 {
     request_error error;
--- a/libraries/requests/request_description.hpp
+++ b/libraries/requests/request_description.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a caller has asked for.
+/// Description of a caller's generation request.
 #pragma once
 
 #include <absl/time/time.h>
@@ -18,7 +18,7 @@
     chat,
 };
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request that may have run can be sent again.
 enum class repeatability
 {
     repeatable,
@@ -30,12 +30,12 @@
 {
     request_id id;
     workspace_id workspace;
-    std::string deployment;   ///< as the caller names it
-    std::string engine_model; ///< as engines are asked for it
+    std::string deployment;   ///< name that the caller uses
+    std::string engine_model; ///< name of the model at the engines
     generation_form form = generation_form::completion;
     std::string body; ///< the caller's JSON
     std::uint64_t prefix = 0;
-    std::int64_t priority = 0; ///< higher goes first
+    std::int64_t priority = 0; ///< higher values are served first
     absl::Time deadline = absl::InfiniteFuture();
     repeatability repeats = repeatability::repeatable;
     std::string traceparent;
--- a/libraries/requests/request_machine.cpp
+++ b/libraries/requests/request_machine.cpp
@@ -20,17 +20,17 @@
 {
 }
 
-request_actions request_machine::begin()
+request_actions request_machine::start()
 {
-    return next_attempt();
+    return start_next_attempt();
 }
 
-bool request_machine::is_present(const attempt_id& attempt) const
+bool request_machine::is_current(const attempt_id& attempt) const
 {
     return !m_is_ended && attempt == m_attempt;
 }
 
-attempt_id request_machine::new_attempt()
+attempt_id request_machine::allocate_attempt_id()
 {
     ++m_attempts;
     m_attempt =
@@ -38,14 +38,14 @@
     return m_attempt;
 }
 
-request_actions request_machine::next_attempt()
+request_actions request_machine::start_next_attempt()
 {
     const bool is_retry = m_attempts > 0;
     m_stream_id.clear();
     m_upstream = upstream_id();
-    m_is_placed = false;
+    m_is_dispatched = false;
     m_is_resumed = false;
-    return {start_attempt{new_attempt(), is_retry}};
+    return {start_attempt{allocate_attempt_id(), is_retry}};
 }
 
 request_actions request_machine::fail(request_error error)
@@ -61,28 +61,28 @@
     {
         return verdict::ran;
     }
-    return m_is_placed || m_was_ambiguous ? verdict::may_have_run
-                                          : verdict::not_run;
+    return m_is_dispatched || m_had_ambiguous_attempt ? verdict::may_have_run
+                                                      : verdict::not_run;
 }
 
 void request_machine::set_upstream(const attempt_id& attempt,
                                    const upstream_id& upstream)
 {
-    if (!is_present(attempt))
+    if (!is_current(attempt))
     {
         return;
     }
     m_upstream = upstream;
-    m_tried.insert(upstream);
-    // From here on bytes may leave; only the attempt's end can tell that
-    // none did.
-    m_is_placed = true;
+    m_tried_upstreams.insert(upstream);
+    // From here on, bytes may be sent; only the result of the attempt can
+    // show that none were.
+    m_is_dispatched = true;
 }
 
-request_actions request_machine::on_unplaced(const attempt_id& attempt,
-                                             const request_error& error)
+request_actions request_machine::on_not_dispatched(const attempt_id& attempt,
+                                                   const request_error& error)
 {
-    if (!is_present(attempt))
+    if (!is_current(attempt))
     {
         return {};
     }
@@ -90,10 +90,10 @@
                               error.retry_after()));
 }
 
-void request_machine::on_stream(const attempt_id& attempt,
-                                const std::string& stream_id)
+void request_machine::on_stream_id(const attempt_id& attempt,
+                                   const std::string& stream_id)
 {
-    if (is_present(attempt))
+    if (is_current(attempt))
     {
         m_stream_id = stream_id;
     }
@@ -103,7 +103,7 @@
                                           token_position position,
                                           const std::string& text)
 {
-    if (!is_present(attempt) || !m_answer.add(position, text))
+    if (!is_current(attempt) || !m_answer.add(position, text))
     {
         return {};
     }
@@ -115,8 +115,8 @@
                                            const std::string& reason,
                                            const answer_usage& usage)
 {
-    // An end before a token that is missing here is no end.
-    if (!is_present(attempt) || end != m_answer.next())
+    // Ignores an end that does not match the tokens received so far.
+    if (!is_current(attempt) || end != m_answer.next())
     {
         return {};
     }
@@ -131,21 +131,21 @@
 
 request_actions request_machine::on_attempt_ended(const attempt_id& attempt,
                                                   const attempt_result& result,
-                                                  bool may_retry)
+                                                  bool is_retry_allowed)
 {
-    if (!is_present(attempt))
+    if (!is_current(attempt))
     {
         return {};
     }
     using outcome = attempt_result::outcome;
-    m_is_placed = false;
-    m_was_ambiguous = m_was_ambiguous || !result.is_not_run();
+    m_is_dispatched = false;
+    m_had_ambiguous_attempt = m_had_ambiguous_attempt || !result.has_not_run();
     if (result.what == outcome::rejected)
     {
         return fail(request_error(result.status, "rejected_by_upstream",
                                   result.message, run()));
     }
-    // 1. The stream may still run there: read on from where it broke.
+    // 1. The stream may still run there: resume it after the last token.
     const bool is_broken =
         result.what == outcome::broken || result.what == outcome::completed;
     if (is_broken && !m_stream_id.empty() && !m_is_resumed &&
@@ -158,45 +158,45 @@
         return {
             resume_stream{m_attempt, m_upstream, m_stream_id, m_answer.next()}};
     }
-    return retry_after_failure(result, may_retry);
+    return retry_after_failure(result, is_retry_allowed);
 }
 
 request_actions
 request_machine::retry_after_failure(const attempt_result& result,
-                                     bool may_retry)
+                                     bool is_retry_allowed)
 {
-    // 2. Elsewhere, if it may be sent again.
+    // 2. Retry elsewhere if the request can be sent again.
     const auto error =
         find_retry_obstacle(result, m_description.repeats, run(),
-                            may_retry && m_attempts < m_max_attempts);
-    return error ? fail(*error) : next_attempt();
+                            is_retry_allowed && m_attempts < m_max_attempts);
+    return error ? fail(*error) : start_next_attempt();
 }
 
 request_actions request_machine::resume()
 {
     m_is_resumed = true;
-    return {
-        resume_stream{new_attempt(), m_upstream, m_stream_id, m_answer.next()}};
+    return {resume_stream{allocate_attempt_id(), m_upstream, m_stream_id,
+                          m_answer.next()}};
 }
 
 request_progress request_machine::progress(token_position from) const
 {
-    request_progress shown;
-    shown.from = from;
+    request_progress snapshot;
+    snapshot.from = from;
     for (auto position = from; position < m_answer.next();
          position = position.next())
     {
-        shown.tokens.emplace_back(m_answer.token(position));
+        snapshot.tokens.emplace_back(m_answer.token(position));
     }
-    shown.upstream = m_upstream;
-    shown.stream_id = m_stream_id;
-    shown.may_have_run = run() != verdict::not_run;
-    shown.attempts = m_attempts;
-    shown.is_complete = m_is_ended && !m_error;
-    shown.finish_reason = m_finish_reason;
-    shown.usage = m_usage;
-    shown.error = m_error;
-    return shown;
+    snapshot.upstream = m_upstream;
+    snapshot.stream_id = m_stream_id;
+    snapshot.may_have_run = run() != verdict::not_run;
+    snapshot.attempts = m_attempts;
+    snapshot.is_complete = m_is_ended && !m_error;
+    snapshot.finish_reason = m_finish_reason;
+    snapshot.usage = m_usage;
+    snapshot.error = m_error;
+    return snapshot;
 }
 
 request_actions request_machine::on_progress(const request_progress& progress)
@@ -205,7 +205,7 @@
     {
         return {};
     }
-    // 1. Tokens that are new; those after a gap wait until it is filled.
+    // 1. Append new tokens; ignore those after a gap until it is filled.
     request_actions actions;
     auto position = progress.from;
     for (const auto& token : progress.tokens)
@@ -216,13 +216,13 @@
         }
         position = position.next();
     }
-    // 2. Where it runs, and whether it may have run.
+    // 2. Update the upstream, the stream and whether it may have run.
     m_upstream = progress.upstream;
     m_stream_id = progress.stream_id;
-    m_was_ambiguous = m_was_ambiguous || progress.may_have_run;
+    m_had_ambiguous_attempt = m_had_ambiguous_attempt || progress.may_have_run;
     m_attempts = std::max(m_attempts, progress.attempts);
     m_usage = progress.usage;
-    // 3. Its end, once no token is missing.
+    // 3. End with the error, or once no token is missing.
     if (progress.error)
     {
         for (auto& action : fail(*progress.error))
@@ -246,35 +246,36 @@
     {
         return {};
     }
-    // 1. The stream may still run: to read on is not to run again.
+    // 1. The stream may still run: resuming it does not run it again.
     if (!m_stream_id.empty() && !m_upstream.empty())
     {
         return resume();
     }
-    // 2. Else it may be sent if it may be repeated, or if it was not sent and
-    //    never will be: an owner that is only frozen may yet send it.
+    // 2. Else send it if it is repeatable, or if the owner did not and will
+    //    not send it: a suspended owner can still send it later.
     const bool is_unsent =
         cause == takeover_cause::relinquished && run() == verdict::not_run;
     if (is_unsent || m_description.repeats == repeatability::repeatable)
     {
-        return next_attempt();
+        return start_next_attempt();
     }
     return fail(request_error(http_status::bad_gateway, "owner_lost",
-                              "the host that ran the request is gone and it "
-                              "may not be repeated",
+                              "the host that owned the request is lost and "
+                              "the request is not repeatable",
                               verdict::may_have_run));
 }
 
 request_actions request_machine::on_upstream_leaving()
 {
-    const bool may_repeat = m_description.repeats == repeatability::repeatable;
-    if (m_is_ended || m_upstream.empty() || !may_repeat)
+    const bool is_repeatable =
+        m_description.repeats == repeatability::repeatable;
+    if (m_is_ended || m_upstream.empty() || !is_repeatable)
     {
         return {};
     }
-    m_was_ambiguous = true;
+    m_had_ambiguous_attempt = true;
     request_actions actions{cancel_attempt{m_attempt}};
-    for (auto& action : next_attempt())
+    for (auto& action : start_next_attempt())
     {
         actions.push_back(std::move(action));
     }
--- a/libraries/requests/request_progress.hpp
+++ b/libraries/requests/request_progress.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How far a request has come, as one host tells another.
+/// Progress of a request, as replicated between hosts.
 #pragma once
 
 #include "answer_usage.hpp"
@@ -13,13 +13,13 @@
 namespace daleshelf
 {
 
-/// Part of a request's state, from one token on.
+/// State of a request with its tokens from a given position on.
 struct request_progress
 {
     token_position from;
     std::vector<std::string> tokens; ///< from position `from` on
-    upstream_id upstream;            ///< of the present attempt
-    std::string stream_id;           ///< at that upstream; empty: none yet
+    upstream_id upstream;            ///< of the current attempt
+    std::string stream_id;           ///< at that upstream; empty if unknown
     bool may_have_run = false;
     std::int64_t attempts = 0;
     bool is_complete = false;
--- a/libraries/requests/retry_budget.cpp
+++ b/libraries/requests/retry_budget.cpp
@@ -7,9 +7,9 @@
 
 void retry_budget::count_first_attempt(double percent)
 {
-    constexpr double whole = 100;
+    constexpr double hundred_percent = 100;
     absl::MutexLock lock(&m_mutex);
-    m_tokens = std::min(most_tokens, m_tokens + percent / whole);
+    m_tokens = std::min(bucket_capacity, m_tokens + percent / hundred_percent);
 }
 
 bool retry_budget::try_take()
--- a/libraries/requests/retry_budget.hpp
+++ b/libraries/requests/retry_budget.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps retries to a share of first attempts.
+/// Limits retries to a ratio of first attempts.
 #pragma once
 
 #include <absl/synchronization/mutex.h>
@@ -7,23 +7,25 @@
 namespace daleshelf
 {
 
-/// Every first attempt adds a share of a token; every retry takes one whole.
-/// A failing upstream can thus never double the load.
+/// A token bucket: each first attempt adds a fraction of a token, each retry
+/// takes one token. Retries to a failing upstream thus cannot double the load.
 class retry_budget
 {
 public:
-    /// @param percent retries against first attempts
+    /// Adds the fraction of a token that a first attempt earns.
+    /// @param percent allowed retries per 100 first attempts
     void count_first_attempt(double percent);
 
-    /// @return whether a retry is allowed; it is counted then
+    /// Takes a token for a retry if one is available.
+    /// @return whether the retry is allowed
     [[nodiscard]] bool try_take();
 
 private:
-    // Enough for a quiet host to move a few requests at once.
-    static constexpr double most_tokens = 32;
+    // Lets a host with little traffic move a few requests at once.
+    static constexpr double bucket_capacity = 32;
 
     absl::Mutex m_mutex;
-    double m_tokens ABSL_GUARDED_BY(m_mutex) = most_tokens;
+    double m_tokens ABSL_GUARDED_BY(m_mutex) = bucket_capacity;
 };
 
 } // namespace daleshelf
--- a/libraries/requests/retry_decision.hpp
+++ b/libraries/requests/retry_decision.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether a request may be sent again after an attempt has failed.
+/// Decides whether a request can be sent again after a failed attempt.
 #pragma once
 
 #include "attempt_result.hpp"
@@ -13,12 +13,13 @@
 {
 
 /// @param result how the last attempt ended; not `completed`
-/// @param repeats whether the caller allows a second run
-/// @param run what is known of all attempts up to now
-/// @param may_retry whether attempts and the retry budget are left
-/// @return nothing if the request may be sent again, else its final answer
+/// @param repeats whether the caller allows the request to run twice
+/// @param run verdict over all attempts so far
+/// @param is_retry_allowed whether the attempt limit and the retry
+/// budget allow another attempt
+/// @return nothing if the request can be sent again, else its final error
 [[nodiscard]] std::optional<request_error>
 find_retry_obstacle(const attempt_result& result, repeatability repeats,
-                    verdict run, bool may_retry);
+                    verdict run, bool is_retry_allowed);
 
 } // namespace daleshelf
--- a/services/daleshelfd/request_attempts.cpp
+++ b/services/daleshelfd/request_attempts.cpp
@@ -71,8 +71,8 @@
         wait_for_room(request, action.attempt);
         return;
     }
-    perform(request, request->machine.on_unplaced(action.attempt,
-                                                  unplaced_error(choice.what)));
+    perform(request, request->machine.on_not_dispatched(
+                         action.attempt, unplaced_error(choice.what)));
 }
 
 void request_service::place(
@@ -110,7 +110,7 @@
     }
     auto error = unplaced_error(routing_choice::outcome::overloaded);
     perform(request,
-            request->machine.on_unplaced(
+            request->machine.on_not_dispatched(
                 attempt, request_error(error.status(), error.code(),
                                        error.what(), error.run(), *pause)));
 }
@@ -133,7 +133,7 @@
     }
     if (choice.what == routing_choice::outcome::none)
     {
-        perform(request, request->machine.on_unplaced(
+        perform(request, request->machine.on_not_dispatched(
                              attempt, unplaced_error(choice.what)));
         return true;
     }
@@ -148,7 +148,7 @@
     absl::MutexLock lock(&request->mutex);
     const auto error = unplaced_error(routing_choice::outcome::overloaded);
     perform(request,
-            request->machine.on_unplaced(
+            request->machine.on_not_dispatched(
                 attempt, request_error(error.status(), error.code(),
                                        error.what(), error.run(), pause)));
 }
@@ -229,7 +229,7 @@
     handlers.on_stream = [this, request, attempt](const std::string& stream_id)
     {
         absl::MutexLock lock(&request->mutex);
-        request->machine.on_stream(attempt, stream_id);
+        request->machine.on_stream_id(attempt, stream_id);
         m_observer->on_changed(request->id);
     };
     handlers.on_token = [this, request, attempt](token_position position,
--- a/services/daleshelfd/request_service.cpp
+++ b/services/daleshelfd/request_service.cpp
@@ -55,7 +55,7 @@
         absl::MutexLock lock(&request->mutex);
         request->sinks.push_back(std::move(sink));
         own(request);
-        perform(request, request->machine.begin());
+        perform(request, request->machine.start());
     }
     m_observer->on_owned(description.id);
 }
@@ -177,13 +177,13 @@
     situation.time_left = leaves_at - now;
     if (request->tokens_here > 1)
     {
-        situation.between_tokens = (now - request->first_token_at) /
+        situation.token_interval = (now - request->first_token_at) /
                                    static_cast<double>(request->tokens_here);
     }
     const auto produced = machine.answer().next().value();
-    situation.tokens_left = request->max_tokens - produced;
-    situation.tokens_held = request->prompt_tokens + produced;
-    situation.has_stream = !machine.stream_id().empty();
+    situation.max_remaining_tokens = request->max_tokens - produced;
+    situation.context_tokens = request->prompt_tokens + produced;
+    situation.has_stream_id = !machine.stream_id().empty();
     const auto config = m_node.current_configuration();
     const auto kind = choose_move(situation, config->policy().move);
     m_node.metrics()
@@ -277,8 +277,8 @@
     wanted.prompt_tokens = request->prompt_tokens;
     wanted.now = absl::Now();
     wanted.strategy = config->policy().routing;
-    wanted.excluded = machine.tried();
-    wanted.is_limited = !machine.has_begun();
+    wanted.excluded = machine.tried_upstreams();
+    wanted.is_limited = !machine.has_started();
     return m_node.routes().choose(deployment->upstreams, wanted);
 }
 
--- a/services/daleshelfd/service_calls.cpp
+++ b/services/daleshelfd/service_calls.cpp
@@ -163,7 +163,7 @@
     using outcome = attempt_result::outcome;
     if (result.what == outcome::completed || result.what == outcome::rejected)
     {
-        pass_on(call, result.is_not_run() ? verdict::not_run : verdict::ran);
+        pass_on(call, result.has_not_run() ? verdict::not_run : verdict::ran);
         return;
     }
     m_node.loads().set_failed(upstream, absl::Now() + failure_pause);
@@ -171,7 +171,7 @@
                                   {"request", call->request.id.value()},
                                   {"status", result.status},
                                   {"cause", result.message}});
-    call->was_ambiguous = call->was_ambiguous || !result.is_not_run();
+    call->was_ambiguous = call->was_ambiguous || !result.has_not_run();
     const auto run =
         call->was_ambiguous ? verdict::may_have_run : verdict::not_run;
     const auto& policy = m_node.current_configuration()->policy();
--- a/tests/requests/move_choice_test.cpp
+++ b/tests/requests/move_choice_test.cpp
@@ -11,10 +11,10 @@
 {
     move_situation situation;
     situation.time_left = absl::Seconds(3);
-    situation.between_tokens = absl::Milliseconds(20);
-    situation.tokens_left = 500;
-    situation.tokens_held = 1000;
-    situation.has_stream = true;
+    situation.token_interval = absl::Milliseconds(20);
+    situation.max_remaining_tokens = 500;
+    situation.context_tokens = 1000;
+    situation.has_stream_id = true;
     return situation;
 }
 
@@ -23,22 +23,22 @@
     return choose_move(situation, move_policy::cheapest);
 }
 
-TEST(move_choice, lets_end_what_will_end_in_time)
+TEST(move_choice, finishes_in_place_if_time_suffices)
 {
     auto situation = make_situation();
-    situation.tokens_left = 50;
+    situation.max_remaining_tokens = 50;
     EXPECT_EQ(move_kind::finish, choose(situation));
 }
 
-TEST(move_choice, moves_what_is_computed_if_there_is_much_of_it)
+TEST(move_choice, moves_the_cache_of_a_long_context)
 {
     EXPECT_EQ(move_kind::move_cache, choose(make_situation()));
 }
 
-TEST(move_choice, computes_again_what_is_short_or_what_there_is_no_time_for)
+TEST(move_choice, recomputes_if_context_or_time_is_short)
 {
     auto situation = make_situation();
-    situation.tokens_held = 20;
+    situation.context_tokens = 20;
     EXPECT_EQ(move_kind::recompute, choose(situation));
     situation = make_situation();
     situation.time_left = absl::Milliseconds(50);
@@ -48,8 +48,8 @@
 TEST(move_choice, does_not_trust_a_pace_that_was_not_measured)
 {
     auto situation = make_situation();
-    situation.between_tokens = absl::ZeroDuration();
-    situation.tokens_left = 1;
+    situation.token_interval = absl::ZeroDuration();
+    situation.max_remaining_tokens = 1;
     EXPECT_NE(move_kind::finish, choose(situation));
 }
 
--- a/tests/requests/request_machine_test.cpp
+++ b/tests/requests/request_machine_test.cpp
@@ -45,7 +45,7 @@
 TEST(request_machine, splices_an_answer_by_position)
 {
     request_machine machine(describe(repeatability::repeatable), max_attempts);
-    (void)machine.begin();
+    (void)machine.start();
     machine.set_upstream(first, engine);
     EXPECT_FALSE(machine.on_token(first, token_position(0), " a").empty());
     EXPECT_TRUE(machine.on_token(first, token_position(2), " c").empty());
@@ -57,7 +57,7 @@
 TEST(request_machine, does_not_end_while_a_token_is_missing)
 {
     request_machine machine(describe(repeatability::repeatable), max_attempts);
-    (void)machine.begin();
+    (void)machine.start();
     machine.set_upstream(first, engine);
     (void)machine.on_token(first, token_position(0), " a");
     EXPECT_TRUE(
@@ -68,7 +68,7 @@
 TEST(request_machine, drops_events_of_an_earlier_attempt)
 {
     request_machine machine(describe(repeatability::repeatable), max_attempts);
-    (void)machine.begin();
+    (void)machine.start();
     machine.set_upstream(first, engine);
     (void)machine.on_attempt_ended(first, result_of(outcome::refused), true);
     machine.set_upstream(second, upstream_id("other"));
@@ -79,9 +79,9 @@
 TEST(request_machine, reads_on_from_a_stream_that_broke)
 {
     request_machine machine(describe(repeatability::once_only), max_attempts);
-    (void)machine.begin();
+    (void)machine.start();
     machine.set_upstream(first, engine);
-    machine.on_stream(first, "s");
+    machine.on_stream_id(first, "s");
     (void)machine.on_token(first, token_position(0), " a");
     const auto actions =
         machine.on_attempt_ended(first, result_of(outcome::broken), true);
@@ -94,7 +94,7 @@
 TEST(request_machine, never_sends_twice_what_may_run_once_only)
 {
     request_machine machine(describe(repeatability::once_only), max_attempts);
-    (void)machine.begin();
+    (void)machine.start();
     machine.set_upstream(first, engine);
     const auto actions =
         machine.on_attempt_ended(first, result_of(outcome::broken), true);
@@ -106,7 +106,7 @@
 TEST(request_machine, sends_again_what_certainly_did_not_run)
 {
     request_machine machine(describe(repeatability::once_only), max_attempts);
-    (void)machine.begin();
+    (void)machine.start();
     machine.set_upstream(first, engine);
     const auto actions =
         machine.on_attempt_ended(first, result_of(outcome::unreachable), true);
@@ -116,7 +116,7 @@
 TEST(request_machine, says_not_run_after_several_attempts_that_did_not_run)
 {
     request_machine machine(describe(repeatability::repeatable), 2);
-    (void)machine.begin();
+    (void)machine.start();
     machine.set_upstream(first, engine);
     (void)machine.on_attempt_ended(first, result_of(outcome::refused), true);
     machine.set_upstream(second, upstream_id("other"));
@@ -128,10 +128,10 @@
     EXPECT_TRUE(failed->error.retry_after().has_value());
 }
 
-TEST(request_machine, keeps_in_mind_that_an_earlier_attempt_may_have_run)
+TEST(request_machine, reports_may_have_run_after_an_ambiguous_attempt)
 {
     request_machine machine(describe(repeatability::repeatable), 2);
-    (void)machine.begin();
+    (void)machine.start();
     machine.set_upstream(first, engine);
     (void)machine.on_attempt_ended(first, result_of(outcome::broken), true);
     machine.set_upstream(second, upstream_id("other"));
@@ -159,7 +159,7 @@
 TEST(request_machine, goes_on_elsewhere_with_the_answer_so_far)
 {
     request_machine machine(describe(repeatability::repeatable), max_attempts);
-    (void)machine.begin();
+    (void)machine.start();
     machine.set_upstream(first, engine);
     (void)machine.on_token(first, token_position(0), " a");
     const auto actions = machine.on_upstream_leaving();
