--- a/libraries/requests/request_machine.cpp
+++ b/libraries/requests/request_machine.cpp
@@ -260,8 +260,8 @@
         return start_next_attempt();
     }
     return fail(request_error(http_status::bad_gateway, "owner_lost",
-                              "the host that owned the request is lost and "
-                              "the request is not repeatable",
+                              "the host that ran the request is gone and it "
+                              "may not be repeated",
                               verdict::may_have_run));
 }
 
--- a/libraries/requests/retry_decision.cpp
+++ b/libraries/requests/retry_decision.cpp
@@ -22,8 +22,8 @@
     if (!is_repeatable)
     {
         return request_error(http_status::bad_gateway, "upstream_failed",
-                             "the upstream failed and the request is not "
-                             "repeatable: " +
+                             "the upstream failed and the request may not be "
+                             "repeated: " +
                                  result.message,
                              run);
     }
