--- a/services/gateway/crash_detector.hpp
+++ b/services/gateway/crash_detector.hpp
@@ -27,7 +27,7 @@
 
 /// Detects crashes of upstreams, and records them as evidence against every
 /// request that ran there, also those whose client no longer waits. See
-/// docs/design/poison.md, "What is an end".
+/// docs/design/poison.md, "What is a crash".
 class crash_detector
 {
 public:
