--- a/libraries/telemetry/bounded_writer.cpp
+++ b/libraries/telemetry/bounded_writer.cpp
@@ -16,71 +16,73 @@
 
 void bounded_writer::add(std::string_view line)
 {
-    if (m_held.size() + line.size() > most_held)
+    if (m_buffer.size() + line.size() > max_buffered_bytes)
     {
         flush();
     }
-    if (m_held.size() + line.size() > most_held)
+    if (m_buffer.size() + line.size() > max_buffered_bytes)
     {
         ++m_dropped;
         return;
     }
-    add_drops();
-    append_text(m_held, line, "\n");
+    append_drop_report();
+    append_text(m_buffer, line, "\n");
     flush();
 }
 
 void bounded_writer::flush()
 {
     std::size_t written = 0;
-    while (written < m_held.size())
+    while (written < m_buffer.size())
     {
-        const auto size = ::write(m_descriptor, m_held.data() + written,
-                                  m_held.size() - written);
+        const auto size = ::write(m_descriptor, m_buffer.data() + written,
+                                  m_buffer.size() - written);
         if (size <= 0)
         {
             break;
         }
         written += static_cast<std::size_t>(size);
     }
-    m_held.erase(0, written);
+    m_buffer.erase(0, written);
 }
 
-void bounded_writer::finish(std::chrono::milliseconds longest)
+void bounded_writer::finish(std::chrono::milliseconds timeout)
 {
     using clock = std::chrono::steady_clock;
-    const auto deadline = clock::now() + longest;
-    add_drops();
+    const auto deadline = clock::now() + timeout;
+    append_drop_report();
     flush();
-    while (!m_held.empty())
+    while (!m_buffer.empty())
     {
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-            deadline - clock::now());
+        const auto remaining =
+            std::chrono::duration_cast<std::chrono::milliseconds>(deadline -
+                                                                  clock::now());
         pollfd output{m_descriptor, POLLOUT, 0};
-        if (left.count() <= 0 ||
-            ::poll(&output, 1, static_cast<int>(left.count())) <= 0)
+        if (remaining.count() <= 0 ||
+            ::poll(&output, 1, static_cast<int>(remaining.count())) <= 0)
         {
             return;
         }
-        const auto before = m_held.size();
+        const auto previous_size = m_buffer.size();
         flush();
-        if (m_held.size() == before)
+        if (m_buffer.size() == previous_size)
         {
-            // The reader is gone.
+            // The descriptor is ready but takes nothing: the reader has closed
+            // its end.
             return;
         }
     }
 }
 
-void bounded_writer::add_drops()
+void bounded_writer::append_drop_report()
 {
-    if (m_dropped == m_told)
+    if (m_dropped == m_reported_drops)
     {
         return;
     }
-    append_text(m_held, R"({"name":"lines_dropped","count":)",
-                m_dropped - m_told, "}\n");
-    m_told = m_dropped;
+    append_text(m_buffer, R"({"name":"lines_dropped","count":)",
+                m_dropped - m_reported_drops, "}\n");
+    m_reported_drops = m_dropped;
 }
 
 } // namespace daleshelf
--- a/libraries/telemetry/bounded_writer.hpp
+++ b/libraries/telemetry/bounded_writer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Writes lines to a descriptor whose reader may stand still.
+/// Non-blocking line output to a descriptor whose reader may stall.
 #pragma once
 
 #include <chrono>
@@ -10,41 +10,44 @@
 namespace daleshelf
 {
 
-/// Never blocks: what the reader does not take is held up to a bound; lines
-/// beyond it are dropped, counted, and told in one line once there is room.
+/// Buffers, up to a bound, the lines that the reader does not accept at once.
+/// Lines beyond the bound are dropped and counted; one line reports their
+/// number as soon as the buffer has room again. Only `finish` blocks.
 class bounded_writer
 {
 public:
     /// @param descriptor is set to non-blocking
     explicit bounded_writer(int descriptor);
 
-    /// @param line without its end
+    /// Writes or buffers one line, or drops it if the buffer is full.
+    /// @param line the line, without a line terminator
     void add(std::string_view line);
 
-    /// Writes what is held, as far as it is taken at once.
+    /// Writes as much of the buffer as the descriptor accepts without blocking.
     void flush();
 
-    /// Writes what is held and what was dropped, at a process's end: nothing is
-    /// in flight then, and a reader that is only slow is waited for.
-    /// @param longest at the most
-    void finish(std::chrono::milliseconds longest);
+    /// Writes the buffer and the number of dropped lines when the process
+    /// stops. Blocks for a slow reader, which is safe since no request is in
+    /// flight any more.
+    /// @param timeout maximum time to block
+    void finish(std::chrono::milliseconds timeout);
 
-    /// @return lines dropped so far
+    /// @return number of lines dropped so far
     [[nodiscard]] std::int64_t dropped() const
     {
         return m_dropped;
     }
 
-    /// Most bytes that are held.
-    static constexpr std::size_t most_held = 262144;
+    /// Maximum size of the buffer, in bytes.
+    static constexpr std::size_t max_buffered_bytes = 262144;
 
 private:
-    void add_drops();
+    void append_drop_report();
 
     int m_descriptor;
-    std::string m_held;
+    std::string m_buffer;
     std::int64_t m_dropped = 0;
-    std::int64_t m_told = 0; ///< drops that a line has told of
+    std::int64_t m_reported_drops = 0; ///< dropped lines that were reported
 };
 
 } // namespace daleshelf
--- a/libraries/telemetry/log.cpp
+++ b/libraries/telemetry/log.cpp
@@ -28,7 +28,7 @@
 {
     std::string program = "daleshelf";
     log_format format = log_format::text;
-    std::atomic<log_severity> least = log_severity::warning;
+    std::atomic<log_severity> min_severity = log_severity::warning;
 };
 
 log_options& options()
@@ -37,7 +37,7 @@
     return instance;
 }
 
-/// Writes to standard output without ever waiting for its reader.
+/// Writes to standard output; blocks for a slow reader in `finish` only.
 class bounded_backend : public boost::log::sinks::basic_formatted_sink_backend<
                             char, boost::log::sinks::synchronized_feeding>
 {
@@ -52,8 +52,8 @@
 
     void finish()
     {
-        constexpr std::chrono::milliseconds longest{300};
-        m_writer.finish(longest);
+        constexpr std::chrono::milliseconds timeout{300};
+        m_writer.finish(timeout);
     }
 
 private:
@@ -101,11 +101,11 @@
 } // namespace
 
 void start_logging(const std::string& program, log_format format,
-                   log_severity least, log_output output)
+                   log_severity min_severity, log_output output)
 {
     options().program = program;
     options().format = format;
-    options().least = least;
+    options().min_severity = min_severity;
     if (output == log_output::bounded_standard_output)
     {
         bounded_output() = boost::make_shared<bounded_backend>();
@@ -134,7 +134,7 @@
 
 void log(const log_event& event, const std::vector<log_field>& fields)
 {
-    if (event.severity < options().least.load())
+    if (event.severity < options().min_severity.load())
     {
         return;
     }
--- a/libraries/telemetry/log.hpp
+++ b/libraries/telemetry/log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Structured log lines, by Boost.Log.
+/// Structured logging, based on Boost.Log.
 #pragma once
 
 #include "log_event.hpp"
@@ -12,23 +12,23 @@
 namespace daleshelf
 {
 
-/// How log lines look.
+/// Format of log lines.
 enum class log_format
 {
     text,
     json,
 };
 
-/// Where log lines go.
+/// Destination of log lines.
 enum class log_output
 {
     standard_error,
-    /// Standard output, of which nothing is waited for: lines that its reader
-    /// does not take are kept up to a bound, then dropped and counted.
+    /// Standard output, written without blocking: lines that the reader does
+    /// not accept are buffered up to a bound, then dropped and counted.
     bounded_standard_output,
 };
 
-/// One named value of a log line.
+/// Name and value of one field of a log line.
 struct log_field
 {
     log_field(std::string_view field_name, std::string field_value)
@@ -45,22 +45,22 @@
     std::string value;
 };
 
-/// Sets up logging; called once, before the first line.
+/// Initializes logging. Called once, before the first line is logged.
 /// @param program the program's name
-/// @param format how lines look
-/// @param least events below this severity are left out
-/// @param output where lines go
+/// @param format format of the lines
+/// @param min_severity events below this severity are not logged
+/// @param output destination of the lines
 void start_logging(const std::string& program, log_format format,
-                   log_severity least,
+                   log_severity min_severity,
                    log_output output = log_output::standard_error);
 
-/// Hands on lines that are still held; at a process's end. A reader that stands
-/// still is waited for a moment only.
+/// Flushes buffered lines when the process stops. Blocks for a stalled reader
+/// for 300 ms at most.
 void finish_log();
 
-/// Writes one line.
-/// @param event what has happened
-/// @param fields the values that belong to it
+/// Logs one event as one line.
+/// @param event the event
+/// @param fields the fields of the line
 void log(const log_event& event, const std::vector<log_field>& fields = {});
 
 } // namespace daleshelf
--- a/libraries/telemetry/log_event.hpp
+++ b/libraries/telemetry/log_event.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The numbered events that programs log.
+/// Catalogue of the numbered events that programs log.
 #pragma once
 
 #include <span>
@@ -8,7 +8,7 @@
 namespace daleshelf
 {
 
-/// How urgent an event is.
+/// Severity of an event, in ascending order.
 enum class log_severity
 {
     debug,
@@ -17,7 +17,7 @@
     error,
 };
 
-/// One kind of event; its number never changes its meaning.
+/// One kind of event. A number keeps its meaning in all versions.
 struct log_event
 {
     int number;
@@ -26,19 +26,20 @@
     std::string_view meaning; ///< for docs/EVENTS.md
 };
 
-/// @return every event that is known, by number
+/// @return all events that programs log
 [[nodiscard]] std::span<const log_event> event_catalogue();
 
 /// @param severity a severity
-/// @return its name in settings and log lines
+/// @return the name of the severity in settings and log lines
 [[nodiscard]] std::string_view severity_name(log_severity severity);
 
-/// @param name a name given by `severity_name`
-/// @return the severity; `info` for a name that is not known
+/// @param name a name returned by `severity_name`
+/// @return the severity; `info` for an unknown name
 [[nodiscard]] log_severity severity_from_name(std::string_view name);
 
-/// The events by name. Numbers go by package: 1xx process, 2xx configuration
-/// and platform, 3xx membership, 4xx requests, 5xx upstreams, 6xx placement.
+/// The events by name. Numbers are grouped by package: 1xx process, 2xx
+/// configuration and platform, 3xx membership, 4xx requests, 5xx upstreams, 6xx
+/// placement.
 namespace events
 {
 
--- a/libraries/telemetry/metrics.hpp
+++ b/libraries/telemetry/metrics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counters, gauges and distributions, shown in the Prometheus text format.
+/// Counters, gauges and distributions, rendered in the Prometheus text format.
 #pragma once
 
 #include <absl/synchronization/mutex.h>
@@ -15,7 +15,7 @@
 namespace daleshelf
 {
 
-/// A number that only grows.
+/// A monotonically increasing number.
 class counter
 {
 public:
@@ -33,7 +33,7 @@
     std::atomic<std::int64_t> m_value = 0;
 };
 
-/// A number that goes up and down.
+/// A number that may increase and decrease.
 class gauge
 {
 public:
@@ -51,7 +51,8 @@
     std::atomic<double> m_value = 0;
 };
 
-/// Count, sum and quantiles of observed values, by Boost.Accumulators.
+/// Count, sum and estimated quantiles of observed values, based on
+/// Boost.Accumulators.
 class distribution
 {
 public:
@@ -63,8 +64,8 @@
     /// @param value one observation
     void observe(double value);
 
-    /// @param name the metric's full name
-    /// @param labels its labels, without braces
+    /// @param name full name of the metric
+    /// @param labels labels of the metric, without braces
     /// @return the lines of a Prometheus summary
     [[nodiscard]] std::string render(const std::string& name,
                                      const std::string& labels) const;
@@ -76,13 +77,15 @@
     std::unique_ptr<accumulators> m_accumulators ABSL_GUARDED_BY(m_mutex);
 };
 
-/// All metrics of a process. A metric is made at its first use and stays.
+/// All metrics of a process. A metric is created at its first use and exists as
+/// long as the registry, so references to it stay valid.
 class metric_registry
 {
 public:
-    /// @param name full name, with the unit at its end
-    /// @param help one line for people
-    /// @param labels `name="value"` pairs, joined by commas
+    /// @param name full name, ending in the unit
+    /// @param help one-line description
+    /// @param labels `name="value"` pairs, separated by commas
+    /// @return the metric, created if it does not exist
     [[nodiscard]] counter& find_counter(const std::string& name,
                                         const std::string& help,
                                         const std::string& labels = "");
--- a/libraries/telemetry/name_batch.hpp
+++ b/libraries/telemetry/name_batch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Many names in one log line.
+/// Summary of many names in one log line.
 #pragma once
 
 #include <base/text.hpp>
@@ -9,21 +9,21 @@
 namespace daleshelf
 {
 
-/// What has happened to many things at about the same time, for one log line:
-/// how many they are, and the first of them. A line for each would be 370,000
-/// lines within 32 s where 295 hosts each hear of 160 servers and of one
-/// another.
+/// Collects the names of objects that the same event affects at about the same
+/// time, and yields their count and the first names for one log line. One line
+/// for each object would be 370,000 lines within 32 s in a fleet of 295 hosts
+/// in which each host learns of 160 upstreams and of all other hosts.
 class name_batch
 {
 public:
-    /// @param most_named how many are named; the others are only counted
-    explicit name_batch(std::size_t most_named) : m_most_named(most_named) {}
+    /// @param max_names number of names to keep; further ones are only counted
+    explicit name_batch(std::size_t max_names) : m_max_names(max_names) {}
 
-    /// @param name what an operator looks for
+    /// @param name name by which an operator searches the log
     void add(std::string_view name)
     {
         ++m_count;
-        if (m_count <= m_most_named)
+        if (m_count <= m_max_names)
         {
             append_text(m_names, m_names.empty() ? "" : " ", name);
         }
@@ -34,19 +34,19 @@
         return m_count == 0;
     }
 
-    /// @return how many there are, with those that are not named
+    /// @return number of names added, including those that are not kept
     [[nodiscard]] std::size_t count() const
     {
         return m_count;
     }
 
-    /// @return the first names, with blanks between
+    /// @return the first names, separated by spaces
     [[nodiscard]] const std::string& names() const
     {
         return m_names;
     }
 
-    /// Begins anew, once the line is written.
+    /// Removes all names; called after the line is logged.
     void clear()
     {
         m_count = 0;
@@ -54,7 +54,7 @@
     }
 
 private:
-    std::size_t m_most_named;
+    std::size_t m_max_names;
     std::size_t m_count = 0;
     std::string m_names;
 };
--- a/libraries/telemetry/span_exporter.cpp
+++ b/libraries/telemetry/span_exporter.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr std::size_t max_waiting = 4096;
+constexpr std::size_t max_pending = 4096;
 constexpr absl::Duration export_interval = absl::Milliseconds(500);
 constexpr std::chrono::milliseconds export_timeout{1000};
 constexpr int span_kind_server = 2;
@@ -95,19 +95,19 @@
     }
 }
 
-void span_exporter::add(span ended)
+void span_exporter::add(span finished)
 {
     if (m_endpoint.empty())
     {
         return;
     }
     absl::MutexLock lock(&m_mutex);
-    if (m_is_stopping || m_waiting.size() >= max_waiting)
+    if (m_is_stopping || m_pending.size() >= max_pending)
     {
         ++m_dropped;
         return;
     }
-    m_waiting.push_back(std::move(ended));
+    m_pending.push_back(std::move(finished));
 }
 
 std::int64_t span_exporter::dropped() const
@@ -127,7 +127,7 @@
             m_mutex.AwaitWithTimeout(absl::Condition(&m_is_stopping),
                                      export_interval);
             is_stopping = m_is_stopping;
-            batch.swap(m_waiting);
+            batch.swap(m_pending);
         }
         if (!batch.empty())
         {
--- a/libraries/telemetry/trace_context.cpp
+++ b/libraries/telemetry/trace_context.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-// Positions in "00-<trace id>-<span id>-<flags>", Trace Context section 3.2.
+// Offsets in "00-<trace id>-<span id>-<flags>", Trace Context section 3.2.
 constexpr std::size_t header_length = 55;
 constexpr std::size_t trace_id_start = 3;
 constexpr std::size_t trace_id_length = 32;
@@ -27,7 +27,7 @@
     std::string id;
     while (id.size() < digits)
     {
-        // An id of zeros only is invalid, hence from 1.
+        // An ID of all zeros is invalid, so the range starts at 1.
         const auto word = absl::Uniform<std::uint64_t>(
             absl::IntervalClosed, generator, 1, UINT64_MAX);
         id += absl::StrFormat("%0*x", digits_per_word, word);
@@ -38,8 +38,8 @@
 bool is_hexadecimal(std::string_view text)
 {
     return std::all_of(text.begin(), text.end(),
-                       [](unsigned char letter)
-                       { return std::isxdigit(letter) != 0; });
+                       [](unsigned char character)
+                       { return std::isxdigit(character) != 0; });
 }
 
 } // namespace
