--- a/libraries/admission/fair_queue.cpp
+++ b/libraries/admission/fair_queue.cpp
@@ -8,10 +8,11 @@
 namespace
 {
 
-// Tokens, for a weight of one: about ten long requests.
-constexpr double most_deficit = 20000;
-constexpr double most_credit = 4000;
-constexpr double least_weight = 0.001;
+// Bounds in tokens for a weight of 1. The maximum deficit is about ten long
+// requests.
+constexpr double max_deficit = 20000;
+constexpr double max_credit = 4000;
+constexpr double min_weight = 0.001;
 
 } // namespace
 
@@ -19,31 +20,33 @@
 
 double fair_queue::cost(const queued_request& request) const
 {
-    constexpr double work_of_any_request = 500;
-    const auto work = m_basis == share_basis::work ? request.estimated_work
-                                                   : work_of_any_request;
-    return work / std::max(request.weight, least_weight);
+    constexpr double uniform_work = 500;
+    const auto work =
+        m_basis == share_basis::work ? request.estimated_work : uniform_work;
+    return work / std::max(request.weight, min_weight);
 }
 
-/// Nobody saves up more than a little while idle, and nobody is held back for
-/// ever for what was made before.
-double& fair_queue::account(const workspace_id& workspace)
+/// Bounds the credit that an idle workspace accumulates, and the deficit, so
+/// that earlier work does not delay a workspace indefinitely.
+double& fair_queue::virtual_time(const workspace_id& workspace)
 {
-    auto& value = m_accounts.try_emplace(workspace, m_now).first->second;
-    value = std::clamp(value, m_now - most_credit, m_now + most_deficit);
+    auto& value = m_virtual_times.try_emplace(workspace, m_system_virtual_time)
+                      .first->second;
+    value = std::clamp(value, m_system_virtual_time - max_credit,
+                       m_system_virtual_time + max_deficit);
     return value;
 }
 
 void fair_queue::push(const queued_request& request)
 {
-    account(request.workspace);
+    virtual_time(request.workspace);
     m_queues[request.priority][request.workspace].push_back(request);
     ++m_size;
 }
 
 void fair_queue::push_front(const queued_request& request)
 {
-    account(request.workspace) -= cost(request);
+    virtual_time(request.workspace) -= cost(request);
     m_queues[request.priority][request.workspace].push_front(request);
     ++m_size;
 }
@@ -54,13 +57,12 @@
     {
         return std::nullopt;
     }
-    const auto class_entry = m_queues.begin();
-    auto& queues = class_entry->second;
-    const auto next =
-        std::min_element(queues.begin(), queues.end(),
-                         [this](const auto& left, const auto& right) {
-                             return account(left.first) < account(right.first);
-                         });
+    const auto highest_priority = m_queues.begin();
+    auto& queues = highest_priority->second;
+    const auto next = std::min_element(
+        queues.begin(), queues.end(),
+        [this](const auto& left, const auto& right)
+        { return virtual_time(left.first) < virtual_time(right.first); });
     auto request = next->second.front();
     next->second.pop_front();
     if (next->second.empty())
@@ -69,12 +71,12 @@
     }
     if (queues.empty())
     {
-        m_queues.erase(class_entry);
+        m_queues.erase(highest_priority);
     }
     --m_size;
-    auto& charged = account(request.workspace);
-    m_now = std::max(m_now, charged);
-    charged += cost(request);
+    auto& workspace_time = virtual_time(request.workspace);
+    m_system_virtual_time = std::max(m_system_virtual_time, workspace_time);
+    workspace_time += cost(request);
     return request;
 }
 
@@ -114,7 +116,7 @@
     {
         return;
     }
-    account(workspace) += work / std::max(weight, least_weight);
+    virtual_time(workspace) += work / std::max(weight, min_weight);
 }
 
 std::int64_t fair_queue::requests_before(const workspace_id& workspace,
@@ -135,8 +137,9 @@
             }
             continue;
         }
-        // Of its own class: what the workspace itself has waiting, and for
-        // each of these one of every other workspace that waits.
+        // At equal priority, all queued requests of the workspace are served
+        // first. Every other workspace has one turn for each of these and one
+        // for the new request.
         const auto own = queues.find(workspace);
         const auto own_size =
             own == queues.end() ? 0
--- a/libraries/admission/fair_queue.hpp
+++ b/libraries/admission/fair_queue.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that wait for an upstream, in a fair order.
+/// Weighted fair queue of requests that wait for an upstream.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,7 +14,7 @@
 namespace daleshelf
 {
 
-/// A request that waits.
+/// A request in the queue.
 struct queued_request
 {
     request_id id;
@@ -24,16 +24,17 @@
     double estimated_work = 1; ///< tokens
 };
 
-/// Higher priorities go first. Within one, the workspace that has had the
-/// least work for its weight goes first. Work is charged as estimated when a
-/// request leaves the queue and corrected when it has ended; what a workspace
-/// can owe, or have saved up, is bounded. Charging after the fact with a
-/// bounded deficit follows "Tail Contagion" (sections on budgets and
-/// deficits), with tokens in place of processor time.
+/// Serves higher priorities first. Within a priority, serves the workspace with
+/// the lowest virtual time, which is the work charged to it divided by its
+/// weight. Estimated work is charged when a request leaves the queue and
+/// corrected when the request has ended. The credit and the deficit of a
+/// workspace are bounded. Charging after execution with a bounded deficit
+/// follows "Tail Contagion" (sections on budgets and deficits), with tokens in
+/// place of processor time.
 class fair_queue
 {
 public:
-    /// @param basis what workspaces are charged by
+    /// @param basis unit in which workspaces are charged: work or requests
     explicit fair_queue(share_basis basis);
 
     void set_basis(share_basis basis)
@@ -41,23 +42,33 @@
         m_basis = basis;
     }
 
-    /// @param request what waits
+    /// Appends a request to the queue of its workspace.
+    /// @param request the request
     void push(const queued_request& request);
 
-    /// @return the request whose turn it is
+    /// Removes the next request and charges its workspace.
+    /// @return the request; nothing if the queue is empty
     [[nodiscard]] std::optional<queued_request> pop();
 
-    /// Puts back at the front what was taken but could not be placed.
+    /// Returns a popped request that could not be placed to the front of the
+    /// queue of its workspace, and refunds its cost.
+    /// @param request the request
     void push_front(const queued_request& request);
 
-    /// @return whether it was there
+    /// @param id the request to remove
+    /// @return whether the request was in the queue
     bool remove(const request_id& id);
 
-    /// Charges work that went to a workspace past the queue, or corrects an
-    /// estimate; may be negative.
+    /// Charges work that bypassed the queue, or corrects an estimate. Has no
+    /// effect unless the basis is work.
+    /// @param workspace the workspace to charge
+    /// @param weight weight of the workspace
+    /// @param work tokens; may be negative
     void charge(const workspace_id& workspace, double weight, double work);
 
-    /// @return how many requests would go before one more of the workspace
+    /// @param workspace workspace of a new request
+    /// @param priority priority of the new request
+    /// @return estimated number of requests served before the new one
     [[nodiscard]] std::int64_t requests_before(const workspace_id& workspace,
                                                std::int64_t priority) const;
 
@@ -70,13 +81,13 @@
     using workspace_queues = std::map<workspace_id, std::deque<queued_request>>;
 
     double cost(const queued_request& request) const;
-    double& account(const workspace_id& workspace);
+    double& virtual_time(const workspace_id& workspace);
 
     share_basis m_basis;
-    /// By priority, the highest first.
+    /// Queues by priority, highest first.
     std::map<std::int64_t, workspace_queues, std::greater<>> m_queues;
-    std::map<workspace_id, double> m_accounts; ///< work for weight
-    double m_now = 0; ///< account of the workspace served last
+    std::map<workspace_id, double> m_virtual_times; ///< work divided by weight
+    double m_system_virtual_time = 0; ///< maximum virtual time at service
     std::size_t m_size = 0;
 };
 
--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -78,7 +78,7 @@
 RC_GTEST_PROP(fair_queue, gives_out_each_request_once, ())
 {
     fair_queue queue(share_basis::work);
-    std::map<std::string, int> given;
+    std::map<std::string, int> pop_counts;
     const auto steps =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100));
     int pushed = 0;
@@ -97,16 +97,16 @@
         }
         else if (request)
         {
-            ++given[request->id.value()];
+            ++pop_counts[request->id.value()];
         }
     }
     while (const auto request = queue.pop())
     {
-        ++given[request->id.value()];
+        ++pop_counts[request->id.value()];
     }
     RC_ASSERT(queue.size() == 0U);
-    RC_ASSERT(given.size() == static_cast<std::size_t>(pushed));
-    for (const auto& [id, count] : given)
+    RC_ASSERT(pop_counts.size() == static_cast<std::size_t>(pushed));
+    for (const auto& [id, count] : pop_counts)
     {
         RC_ASSERT(count == 1);
     }
